--- a/cmd/zinnialadder/ctl.go
+++ b/cmd/zinnialadder/ctl.go
@@ -143,8 +143,8 @@
 			if err != nil || v == 0 {
 				return fmt.Errorf("VERSION %q: want a positive whole number", args[1])
 			}
-			t := weights.Target{Pool: args[0], Version: v, Author: authorOr(*author), NamedAt: time.Now()}
-			if err := weights.Name(cmd.Context(), client(), t); err != nil {
+			t := weights.Target{Pool: args[0], Version: v, Author: authorOr(*author), SetAt: time.Now()}
+			if err := weights.SetTarget(cmd.Context(), client(), t); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s is to load version %d\n", t.Pool, t.Version)
--- a/cmd/zinnialadder/node.go
+++ b/cmd/zinnialadder/node.go
@@ -108,14 +108,14 @@
 	if err != nil {
 		return err
 	}
-	var cloud node.Cloud
+	var cloud node.CloudProvider
 	if s.Cloud != "" {
 		cloud = platform.NewCloud(s.Cloud)
 	}
 	n := node.New(node.Config{
-		Name: s.Node, DataCentre: s.DataCentre, Address: s.Callers, PeerAddress: s.Peers, Cores: s.Cores, Store: links, Reach: links, Dial: watch.Peers, Engines: platform.NewEngines(),
-		Decoder: platform.Decoder(), Logger: logger, Metrics: registry, MaxRow: s.RowBytes, LeaseTime: s.LeaseTime, KeepFor: s.StatusTime, Grace: s.Grace,
-		Cloud: cloud, Calendar: usage.Calendar{Length: s.UsageWindow, Late: s.UsageLate},
+		Name: s.Node, DataCentre: s.DataCentre, Address: s.Callers, PeerAddress: s.Peers, Cores: s.Cores, Store: links, StoreReachability: links, Dial: watch.DialPeer, Upstreams: platform.NewEngines(),
+		Decoder: platform.Decoder(), Logger: logger, Metrics: registry, MaxRowBytes: s.RowBytes, MinHolderInterval: s.LeaseTime, SubmissionRetention: s.StatusTime, ShutdownGrace: s.Grace,
+		CloudProvider: cloud, Calendar: usage.Schedule{Length: s.UsageWindow, ReportDelay: s.UsageLate},
 	})
 	callers := platform.NewCallers(n)
 	var servers []*http.Server
@@ -145,7 +145,7 @@
 	}
 	tctx, cancelTelling := context.WithTimeout(context.Background(), s.Grace/shutdownShare)
 	defer cancelTelling()
-	n.TellUse(tctx)
+	n.FlushUsage(tctx)
 	return errors.Join(err, group.Wait())
 }
 
--- a/cmd/zinnialadder/peers.go
+++ b/cmd/zinnialadder/peers.go
@@ -16,11 +16,11 @@
 // counters and its line for each change of the way.
 func listenForPeers(group *errgroup.Group, address string, direct *platform.Store, logger *log.Logger, registry metrics.Registry) (*storepath.Links, error) {
 	return storepath.Listen(storepath.LinksConfig{Listen: address, Direct: direct, Ping: direct.Ping,
-		Start: func(f func() error) { group.Go(f) },
-		Changed: func(from, to storepath.Way, why string) {
+		Go: func(f func() error) { group.Go(f) },
+		OnChange: func(from, to storepath.AccessPath, why string) {
 			logger.Info("way to the store", "from", from, "to", to, "why", why)
 		},
-		Observe: func(w storepath.Way, err error) {
+		OnCall: func(w storepath.AccessPath, err error) {
 			if w.Kind != storepath.ThroughPeer {
 				return // the store's own client counts it
 			}
--- a/cmd/zinnialadder/process_test.go
+++ b/cmd/zinnialadder/process_test.go
@@ -156,14 +156,14 @@
 	eventually(t, 10*time.Second, "version 1 named", func() bool { return name(1) })
 
 	const groups, size = 40, 4
-	spec := step.Spec{Customer: "minho", Entry: "drafts", ID: "s1", Desired: groups, DueAt: time.Now().Add(time.Minute).UTC()}
+	spec := step.Spec{Customer: "minho", Entry: "drafts", ID: "s1", Desired: groups, Deadline: time.Now().Add(time.Minute).UTC()}
 	for i := range groups {
 		spec.Groups = append(spec.Groups, step.Group{ID: fmt.Sprint("g", i), Prompt: fmt.Sprint("prompt ", i), Size: size, MaxTokens: 40})
 	}
 	if status, err := ask("http://"+addrs[3]+"/v1/steps", spec, nil); err != nil || status != http.StatusAccepted {
 		t.Fatalf("step answered %d %v", status, err)
 	}
-	var got []trainertest.Received
+	var got []trainertest.ReceivedSample
 	received := func() int {
 		got = nil
 		if _, err := ask("http://"+tr+"/v1/received", nil, &got); err != nil {
@@ -205,7 +205,7 @@
 	}
 	eventually(t, 20*time.Second, "every engine at version 2", func() bool {
 		for _, u := range pool.Upstreams {
-			rep, err := engine.NewClient(u.Address, nil).Report(context.Background())
+			rep, err := engine.NewClient(u.Address, nil).LoadReport(context.Background())
 			if err != nil || rep.WeightVersion != 2 {
 				return false
 			}
--- a/cmd/zinnialadder/release.go
+++ b/cmd/zinnialadder/release.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			n, err := node.Release(cmd.Context(), platform.NewStore(address), content)
+			n, err := node.ReleaseQuarantine(cmd.Context(), platform.NewStore(address), content)
 			if err != nil {
 				return fmt.Errorf("release %s: %w", content, err)
 			}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -118,7 +118,7 @@
 }
 
 func start(cfg Config) (*site.Site, error) {
-	store := &enginetest.WeightStore{FetchTime: fetchTime, Free: freeFetches}
+	store := &enginetest.WeightStore{FetchTime: fetchTime, FullRateFetches: freeFetches}
 	hedge := cfg.Policy.HedgeFactor
 	if hedge == 0 {
 		hedge = -1 // never
@@ -126,7 +126,7 @@
 	s, err := site.Start(site.Config{Engines: cfg.Deployment.Engines, Entries: cfg.Deployment.Entries,
 		Engine: enginetest.Config{Slots: slots, TokenInterval: tokenInterval, WeightVersion: 1, ChecksFencing: true, WeightStore: store},
 		Entry: entry.Config{Refresh: 100 * time.Millisecond, Tick: 10 * time.Millisecond, ReportInterval: 100 * time.Millisecond,
-			StepTick: 5 * time.Millisecond, StepRefresh: 100 * time.Millisecond, RolloutProbe: 25 * time.Millisecond,
+			StepTick: 5 * time.Millisecond, StepRefresh: 100 * time.Millisecond, RolloutPollInterval: 25 * time.Millisecond,
 			ReportLag: 50 * time.Millisecond, ShardGroups: 8, SlowFrom: cfg.Policy.SlowFrom, StepPolicy: step.Policy{HedgeFactor: hedge, HedgeAfter: 8, RetryDelay: 20 * time.Millisecond}}})
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 func spec(cfg Config, tr Trainer, k int) step.Spec {
 	rnd := rand.New(rand.NewPCG(cfg.Seed, uint64(k)))
 	s := step.Spec{Customer: cfg.Deployment.Name, Entry: tr.Entry, ID: fmt.Sprintf("%s-%d", tr.Entry, k),
-		Desired: max(1, int(cfg.Policy.DesiredPart*float64(tr.Groups)+0.5)), DueAt: time.Now().Add(stepDue)}
+		Desired: max(1, int(cfg.Policy.DesiredPart*float64(tr.Groups)+0.5)), Deadline: time.Now().Add(stepDue)}
 	for i := range tr.Groups {
 		tokens := tr.Tokens
 		if rnd.IntN(8) == 0 {
--- a/internal/experiment/meter.go
+++ b/internal/experiment/meter.go
@@ -41,8 +41,8 @@
 // name names version v through an entry instance.
 func (m *meter) name(ctx context.Context, entryName string, v uint64) error {
 	e := m.site.Entries[0]
-	m.site.Trainer.Named(v)
-	err := entry.NewClient(e.Addr(), nil).NameWeights(ctx, entry.WeightsRequest{Customer: e.View().Entries[entryName].Owner, Entry: entryName, Version: v})
+	m.site.Trainer.SetTargetVersion(v)
+	err := entry.NewClient(e.Addr(), nil).SetTargetVersion(ctx, entry.WeightsRequest{Customer: e.View().Entries[entryName].Owner, Entry: entryName, Version: v})
 	m.mu.Lock()
 	m.version, m.namedAt[v] = v, time.Now()
 	m.mu.Unlock()
@@ -68,7 +68,7 @@
 		}
 		m.seen[r.Sample.ID] = true
 		m.whole[r.Sample.Group]++
-		oldest := r.Sample.Oldest()
+		oldest := r.Sample.OldestVersion()
 		lag := m.lagAt(oldest, r.At)
 		m.lag += lag
 		if lag > 0 {
@@ -115,7 +115,7 @@
 			return err
 		}
 		for m.wholeGroups(tr, k) < s.Desired {
-			if time.Now().After(s.DueAt) {
+			if time.Now().After(s.Deadline) {
 				return fmt.Errorf("step %s: %d of %d groups when due", s.ID, m.wholeGroups(tr, k), s.Desired)
 			}
 			time.Sleep(pollInterval)
--- a/internal/loadsim/loadsim.go
+++ b/internal/loadsim/loadsim.go
@@ -57,7 +57,7 @@
 type Policy struct {
 	Name string
 	// Return returns when the caller of a rejected request comes back.
-	Return func(r *forward.Returns, now, deadline time.Time, draw float64) time.Time
+	Return func(r *forward.RetryScheduler, now, deadline time.Time, draw float64) time.Time
 	// Hold has requests that find no room wait for it until their deadline.
 	Hold bool
 }
@@ -67,10 +67,10 @@
 
 // The policies: the product's, an earlier version of it, and the plain way.
 var (
-	Spread = Policy{Name: "spread", Return: func(r *forward.Returns, now, deadline time.Time, draw float64) time.Time {
+	Spread = Policy{Name: "spread", Return: func(r *forward.RetryScheduler, now, deadline time.Time, draw float64) time.Time {
 		return r.Reject(pool, now, deadline, draw)
 	}}
-	Constant = Policy{Name: "constant", Return: func(_ *forward.Returns, now, _ time.Time, _ float64) time.Time {
+	Constant = Policy{Name: "constant", Return: func(_ *forward.RetryScheduler, now, _ time.Time, _ float64) time.Time {
 		return now.Add(constantReturn)
 	}}
 	Hold     = Policy{Name: "hold", Hold: true, Return: Constant.Return}
@@ -102,7 +102,7 @@
 
 // route is the route of all requests.
 func (l Load) route() routetable.Route {
-	return routetable.Route{Name: "load", Kind: routetable.Idempotent, Timeout: l.Timeout, Objective: l.Objective, MaxAttempts: 2,
+	return routetable.Route{Name: "load", Kind: routetable.Idempotent, Timeout: l.Timeout, LatencyObjective: l.Objective, MaxAttempts: 2,
 		Shares: []routetable.Share{{Pool: pool, Weight: 1}}}
 }
 
--- a/internal/loadsim/loadsim_test.go
+++ b/internal/loadsim/loadsim_test.go
@@ -173,7 +173,7 @@
 	for i := range 9 {
 		ids = append(ids, string(rune('a'+i)))
 	}
-	parts := weights.Partition(ids, []weights.Demand{{Model: "small", Work: 1}, {Model: "large", Work: 3}})
+	parts := weights.AssignEngines(ids, []weights.Demand{{Model: "small", Work: 1}, {Model: "large", Work: 3}})
 	slower := func(ofSmall, ofLarge int) time.Duration {
 		const steps = 100
 		var a, b time.Duration
--- a/internal/loadsim/server.go
+++ b/internal/loadsim/server.go
@@ -35,7 +35,7 @@
 }
 
 func (u *server) load() upstream.Load {
-	return upstream.Load{Running: u.running, Waiting: len(u.waiting), Slots: u.site.load.Slots}
+	return upstream.Load{Running: u.running, Queued: len(u.waiting), Slots: u.site.load.Slots}
 }
 
 // take takes an attempt that arrives at now.
--- a/internal/loadsim/site.go
+++ b/internal/loadsim/site.go
@@ -37,7 +37,7 @@
 // instance is one instance of the system.
 type instance struct {
 	registry *upstream.Registry
-	returns  forward.Returns
+	returns  forward.RetryScheduler
 	name     string
 }
 
@@ -107,8 +107,8 @@
 // next decides what happens to the request at now.
 func (r *request) next(now time.Time) {
 	s := r.caller.site
-	t, wait := r.plan.Next(r.instance.registry, upstream.Want{Pool: pool, At: now, Affinity: r.instance.name})
-	if t == nil && wait == 0 && s.policy.Hold && now.Add(holdStep).Before(r.plan.AnswerBy) {
+	t, wait := r.plan.Next(r.instance.registry, upstream.Requirements{Pool: pool, Now: now, Affinity: r.instance.name})
+	if t == nil && wait == 0 && s.policy.Hold && now.Add(holdStep).Before(r.plan.Deadline) {
 		wait = holdStep
 	}
 	switch {
@@ -127,21 +127,21 @@
 	if len(r.plan.Tried()) == 0 {
 		s.meter.held = append(s.meter.held, now.Sub(r.begun))
 	}
-	r.caller.again(now, s.policy.Return(&r.instance.returns, now, r.plan.AnswerBy, s.rand.Float64()))
+	r.caller.again(now, s.policy.Return(&r.instance.returns, now, r.plan.Deadline, s.rand.Float64()))
 }
 
 // send sends the request to the ticket's upstream.
-func (r *request) send(now time.Time, t *upstream.Ticket) {
+func (r *request) send(now time.Time, t *upstream.Reservation) {
 	s := r.caller.site
 	s.meter.attempts++
-	until := r.plan.AttemptUntil(now)
+	until := r.plan.AttemptDeadline(now)
 	begun, over := now, false // over once the attempt has ended
 	end := func(now time.Time, load *upstream.Load, err error) {
 		if over {
 			return
 		}
 		over = true
-		r.ended(now, t, upstream.Report{At: now, Load: load, Pace: now.Sub(begun)}, err)
+		r.ended(now, t, upstream.AttemptResult{At: now, Load: load, TimePerUnit: now.Sub(begun)}, err)
 	}
 	if s.upstreams[t.ID].away(now) {
 		s.at(now.Add(2*linkDelay), func(now time.Time) { end(now, nil, forward.ErrUnreachable) })
@@ -162,18 +162,18 @@
 }
 
 // ended takes the outcome of an attempt.
-func (r *request) ended(now time.Time, t *upstream.Ticket, rep upstream.Report, err error) {
+func (r *request) ended(now time.Time, t *upstream.Reservation, rep upstream.AttemptResult, err error) {
 	s := r.caller.site
 	if err != nil {
-		rep.Pace = 0
-		rep.Failed = !forward.Refused(&rep, err, forward.BusyPause)
+		rep.TimePerUnit = 0
+		rep.Failed = !forward.RecordRefusal(&rep, err, forward.BusyBackoff)
 	}
 	t.Done(rep)
 	status := 0
 	if err == nil {
 		status = http.StatusOK
 	}
-	done, err := r.plan.Ended(t.ID, status, err, now)
+	done, err := r.plan.EndAttempt(t.ID, status, err, now)
 	switch {
 	case done && err == nil:
 		r.instance.returns.Served(pool, now)
--- a/internal/loadsim/step.go
+++ b/internal/loadsim/step.go
@@ -129,34 +129,34 @@
 }
 
 // want is what item i asks of an engine.
-func (s *step) want(i int, now time.Time) upstream.Want {
-	return upstream.Want{Pool: pool, At: now, Model: stepModel, MinVersion: 1, Affinity: fmt.Sprint(i / s.load.Size), Bounded: true}
+func (s *step) want(i int, now time.Time) upstream.Requirements {
+	return upstream.Requirements{Pool: pool, Now: now, Model: stepModel, MinVersion: 1, Affinity: fmt.Sprint(i / s.load.Size), NeedFreeSlot: true}
 }
 
 // next has the ticket's engine make the next events of item i, and looks then
 // whether the rest is better made elsewhere.
-func (s *step) next(now time.Time, i int, t *upstream.Ticket, event time.Duration) {
+func (s *step) next(now time.Time, i int, t *upstream.Reservation, event time.Duration) {
 	n := min(submission.FlushEvents, s.events[i]-s.made[i])
 	s.at(now.Add(time.Duration(n)*event), func(now time.Time) {
-		p := submission.Progress{Versions: []uint64{1}, Status: http.StatusOK}
+		p := submission.AttemptOutput{Versions: []uint64{1}, Status: http.StatusOK}
 		for range n {
 			s.made[i]++
 			p.Events = append(p.Events, submission.Event{ID: s.made[i], Version: 1})
 		}
-		t.Observe(upstream.Report{At: now, Pace: event})
+		t.Observe(upstream.AttemptResult{At: now, TimePerUnit: event})
 		switch {
 		case s.made[i] == s.events[i]:
-			t.Done(upstream.Report{At: now, Pace: event})
-			p.Whole = true
-			s.run.Generated(i, p, submission.Terms{MaxAttempts: 1}, now)
+			t.Done(upstream.AttemptResult{At: now, TimePerUnit: event})
+			p.Complete = true
+			s.run.AttemptEnded(i, p, submission.ItemPolicy{MaxAttempts: 1}, now)
 			s.finished(now, i/s.load.Size)
-		case s.policy.Move && t.Better(s.want(i, now), submission.SlowEngine):
+		case s.policy.Move && t.FasterAvailable(s.want(i, now), submission.SlowEngineFactor):
 			s.moves++
-			t.Done(upstream.Report{At: now, Pace: event})
-			s.run.Generated(i, p, submission.Terms{MaxAttempts: 1}, now)
+			t.Done(upstream.AttemptResult{At: now, TimePerUnit: event})
+			s.run.AttemptEnded(i, p, submission.ItemPolicy{MaxAttempts: 1}, now)
 			s.place(now)
 		default:
-			s.run.Extended(i, p, submission.Terms{MaxAttempts: 1})
+			s.run.AddEvents(i, p, submission.ItemPolicy{MaxAttempts: 1})
 			s.next(now, i, t, event)
 		}
 	})
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -196,7 +196,7 @@
 
 // WaitApplied waits until every running entry instance has applied the
 // row versions in out, or the time allowed has passed.
-func (s *Site) WaitApplied(out []catalogue.Outcome, within time.Duration) error {
+func (s *Site) WaitApplied(out []catalogue.SyncResult, within time.Duration) error {
 	deadline := time.Now().Add(within)
 	for _, in := range s.Entries {
 		for !applied(in.View(), out) {
@@ -209,9 +209,9 @@
 	return nil
 }
 
-func applied(v *entry.View, out []catalogue.Outcome) bool {
+func applied(v *entry.View, out []catalogue.SyncResult) bool {
 	for _, o := range out {
-		if v.Versions[o.Key] < o.Version {
+		if v.RowVersions[o.Key] < o.Version {
 			return false
 		}
 	}
--- a/internal/snapshot/duties.go
+++ b/internal/snapshot/duties.go
@@ -89,7 +89,7 @@
 			sent = "accepted " + r.SentAt.UTC().Format(time.TimeOnly)
 		}
 		fmt.Fprintf(t, "window %d\t%d requests of %d customers\ttold by %d instances\tfixed %s by %s\t%s\n", r.Window, total, len(r.Counts),
-			r.Tallies, r.FixedAt.UTC().Format(time.TimeOnly), r.FixedBy, sent)
+			r.Tallies, r.FinalizedAt.UTC().Format(time.TimeOnly), r.FinalizedBy, sent)
 	}
 	for _, w := range d.Missing {
 		fmt.Fprintf(t, "window %d\tmissing\n", w)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -154,7 +154,7 @@
 		if !belongs(r.Key) {
 			continue
 		}
-		for _, name := range submission.ObjectsOf(r.row()) {
+		for _, name := range submission.ObjectNames(r.row()) {
 			data, err := store.GetObject(ctx, name)
 			if errors.Is(err, platform.ErrNotFound) {
 				continue
--- a/internal/snapshot/state.go
+++ b/internal/snapshot/state.go
@@ -34,7 +34,7 @@
 // texts and are by far the largest.
 func ServedTables(d node.Decoder) []Table {
 	return []Table{
-		{Name: d.OperatorTable, Prefixes: []string{d.OperatorTable + "//"}, WithoutSecrets: d.WithoutKeys},
+		{Name: d.OperatorTable, Prefixes: []string{d.OperatorTable + "//"}, WithoutSecrets: d.RedactKeys},
 		{Name: d.EntriesTable, Prefixes: []string{d.EntriesTable + "//"}},
 		{Name: membership.Table, Prefixes: []string{membership.Prefix()}},
 		{Name: submission.HeadsTable, Prefixes: submission.HeadPrefixes()},
@@ -48,18 +48,18 @@
 
 // State is what a snapshot says of a site.
 type State struct {
-	TakenAt       time.Time         `json:"taken_at"`
-	Configuration Configuration     `json:"configuration"`
-	Versions      map[string]uint64 `json:"weight_versions"` // named, by model
-	Instances     []Instance        `json:"instances"`
-	Upstreams     []upstream.Entry  `json:"upstreams"`
-	Leases        []Lease           `json:"leases"`
-	Relays        []Relay           `json:"relays"`
-	Suspects      []Suspect         `json:"suspects"`
-	Submissions   []Submission      `json:"submissions"`
-	Changes       []node.Change     `json:"changes"`    // of the configuration, the oldest first
-	Reports       []usage.Report    `json:"reports"`    // of customers' use
-	Unreadable    []string          `json:"unreadable"` // rows that could not be read, and why
+	TakenAt       time.Time          `json:"taken_at"`
+	Configuration Configuration      `json:"configuration"`
+	Versions      map[string]uint64  `json:"weight_versions"` // named, by model
+	Instances     []Instance         `json:"instances"`
+	Upstreams     []upstream.Entry   `json:"upstreams"`
+	Leases        []Lease            `json:"leases"`
+	Relays        []Relay            `json:"relays"`
+	Suspects      []Suspect          `json:"suspects"`
+	Submissions   []Submission       `json:"submissions"`
+	Changes       []node.AuditRecord `json:"changes"`    // of the configuration, the oldest first
+	Reports       []usage.Report     `json:"reports"`    // of customers' use
+	Unreadable    []string           `json:"unreadable"` // rows that could not be read, and why
 }
 
 // Configuration is the configuration that the operators have written.
@@ -159,11 +159,11 @@
 
 // resultOf returns the ID of the submission that the result at key is of.
 func resultOf(key string) string {
-	return submission.IDOf(key[:strings.LastIndexByte(key, '/')])
+	return submission.IDFromKey(key[:strings.LastIndexByte(key, '/')])
 }
 
 func (st *State) operator(d node.Decoder, r Row) error {
-	if model, v, ok := d.NamedVersion(r.row()); ok {
+	if model, v, ok := d.TargetVersion(r.row()); ok {
 		st.Versions[model] = v
 		return nil
 	}
@@ -171,7 +171,7 @@
 	if !ok || err != nil {
 		return err
 	}
-	st.Configuration = Configuration{Version: t.Version, Routes: t.Routes(), Customers: t.Customers.Size()}
+	st.Configuration = Configuration{Version: t.Version, Routes: t.RouteCount(), Customers: t.Customers.Len()}
 	for _, p := range t.Pools {
 		st.Configuration.Pools = append(st.Configuration.Pools, p.Name)
 	}
@@ -202,7 +202,7 @@
 		st.Suspects[i].Trials++
 		return nil
 	}
-	st.Suspects[i].Ends = append(st.Suspects[i].Ends, f.Of)
+	st.Suspects[i].Ends = append(st.Suspects[i].Ends, f.Subject)
 	return nil
 }
 
@@ -214,8 +214,8 @@
 	if err != nil {
 		return err
 	}
-	st.Instances = append(st.Instances, Instance{Name: m.Name, Start: m.Start, Address: m.Address, DataCentre: m.DataCentre,
-		Draining: m.Draining, Configuration: m.Configuration, Follows: m.Follows, RenewedAt: l.RenewedAt, ExpiresAt: l.ExpiresAt})
+	st.Instances = append(st.Instances, Instance{Name: m.Name, Start: m.StartID, Address: m.Address, DataCentre: m.DataCentre,
+		Draining: m.Draining, Configuration: m.Configuration, Follows: m.WatchSource, RenewedAt: l.RenewedAt, ExpiresAt: l.ExpiresAt})
 	return nil
 }
 
@@ -230,7 +230,7 @@
 func (st *State) relay(r Row) error {
 	at, err := watch.Decode(r.row())
 	if err == nil {
-		st.Relays = append(st.Relays, Relay{DataCentre: at.DataCentre, Slot: at.Slot, Start: at.Start, Address: at.Address})
+		st.Relays = append(st.Relays, Relay{DataCentre: at.DataCentre, Slot: at.Slot, Start: at.StartID, Address: at.Address})
 	}
 	return err
 }
@@ -256,7 +256,7 @@
 }
 
 func (st *State) change(r Row) error {
-	var c node.Change
+	var c node.AuditRecord
 	err := json.Unmarshal(r.Value, &c)
 	if err == nil {
 		st.Changes = append(st.Changes, c)
@@ -302,8 +302,8 @@
 		if c.Customers != nil {
 			customers = *c.Customers
 		}
-		fmt.Fprintf(t, "change to %d\tfrom %d\tseen %s by %s\tadded %v\tremoved %v\tchanged %v\tlimits %t\tpools %t\tcustomers added %v, removed %v, with other keys %v\n", c.Version, c.Before,
-			c.SeenAt.UTC().Format(time.DateTime), c.SeenBy, c.Added, c.Removed, c.Changed, c.Limits, c.Pools, customers.Added, customers.Removed, customers.Rekeyed)
+		fmt.Fprintf(t, "change to %d\tfrom %d\tseen %s by %s\tadded %v\tremoved %v\tchanged %v\tlimits %t\tpools %t\tcustomers added %v, removed %v, with other keys %v\n", c.Version, c.PreviousVersion,
+			c.SeenAt.UTC().Format(time.DateTime), c.SeenBy, c.Added, c.Removed, c.Changed, c.Limits, c.Pools, customers.Added, customers.Removed, customers.KeysChanged)
 	}
 	for _, u := range st.Unreadable {
 		fmt.Fprintf(t, "unreadable\t%s\n", u)
--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -50,15 +50,15 @@
 	return n
 }
 
-// Place is one of the limits that a request must keep within.
-type Place struct {
+// KeyLimit is one of the limits that a request must keep within.
+type KeyLimit struct {
 	Key   string
 	Limit int // 0: none
 }
 
 // AcquireAll takes all places, or none and returns the index of the one that is
 // full; -1 if none is.
-func (f *InFlight) AcquireAll(places []Place) (full int) {
+func (f *InFlight) AcquireAll(places []KeyLimit) (full int) {
 	for i, p := range places {
 		if f.Acquire(p.Key, p.Limit) {
 			continue
@@ -70,7 +70,7 @@
 }
 
 // ReleaseAll gives places back that AcquireAll has taken.
-func (f *InFlight) ReleaseAll(places []Place) {
+func (f *InFlight) ReleaseAll(places []KeyLimit) {
 	for _, p := range places {
 		f.Release(p.Key)
 	}
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -14,7 +14,7 @@
 
 func ExampleInFlight() {
 	var f admission.InFlight
-	places := []admission.Place{{Key: "entry:drafts", Limit: 1}, {Key: "customer:minho", Limit: 2}}
+	places := []admission.KeyLimit{{Key: "entry:drafts", Limit: 1}, {Key: "customer:minho", Limit: 2}}
 	fmt.Println(f.AcquireAll(places), f.AcquireAll(places))
 	f.ReleaseAll(places)
 	fmt.Println(f.AcquireAll(places), f.Total("entry:"))
@@ -29,12 +29,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var f admission.InFlight
 		limits := map[string]int{"a": 3, "b": 2, "c": 0}
-		var held [][]admission.Place
+		var held [][]admission.KeyLimit
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
-				var ps []admission.Place
+				var ps []admission.KeyLimit
 				for _, k := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 3, rapid.ID[string]).Draw(t, "keys") {
-					ps = append(ps, admission.Place{Key: k, Limit: limits[k]})
+					ps = append(ps, admission.KeyLimit{Key: k, Limit: limits[k]})
 				}
 				if f.AcquireAll(ps) < 0 {
 					held = append(held, ps)
--- a/pkg/catalogue/audit.go
+++ b/pkg/catalogue/audit.go
@@ -31,9 +31,9 @@
 	return platform.Put(fmt.Sprintf("%s%s/%08d", AuditPrefix, ch.Key, ch.Generation), 0, ch)
 }
 
-// Audited reports whether the audit record that op, of AuditOp, writes stands,
+// AuditRecorded reports whether the audit record that op, of AuditOp, writes stands,
 // and so whether the change committed with it was accepted.
-func Audited(ctx context.Context, c *platform.Client, op platform.Op) (bool, error) {
+func AuditRecorded(ctx context.Context, c *platform.Client, op platform.Op) (bool, error) {
 	kept, err := c.Get(ctx, op.Key)
 	if errors.Is(err, platform.ErrNotFound) {
 		return false, nil
--- a/pkg/catalogue/catalogue.go
+++ b/pkg/catalogue/catalogue.go
@@ -100,9 +100,9 @@
 	Address    string        `json:"address"`
 	DataCentre string        `json:"data_centre"`
 	State      UpstreamState `json:"state"`
-	// OlderSystem marks an engine that the older rollout system still
+	// LegacyManaged marks an engine that the older rollout system still
 	// gives orders to: requests are routed to it, orders are not.
-	OlderSystem bool `json:"older_system,omitempty"`
+	LegacyManaged bool `json:"older_system,omitempty"`
 	// MaxInFlight is how many requests the whole system may have in flight
 	// at the upstream, so that another system sharing it keeps the rest; 0
 	// for no limit.
@@ -130,12 +130,12 @@
 	return max(1, len(p.Upstreams)/3)
 }
 
-// Orderable returns the addresses of the engines of p that may be ordered
+// LoadableEngines returns the addresses of the engines of p that may be ordered
 // to load weights.
-func (p Pool) Orderable() []string {
+func (p Pool) LoadableEngines() []string {
 	var out []string
 	for _, u := range p.Upstreams {
-		if p.Kind == Engines && u.State == Live && !u.OlderSystem {
+		if p.Kind == Engines && u.State == Live && !u.LegacyManaged {
 			out = append(out, u.Address)
 		}
 	}
--- a/pkg/catalogue/file.go
+++ b/pkg/catalogue/file.go
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// Outcome is what Sync did with one item.
-type Outcome struct {
+// SyncResult is what Sync did with one item.
+type SyncResult struct {
 	Key     string
 	Changed bool
 	Version uint64 // row version now
@@ -68,7 +68,7 @@
 // differ, each by a compare-and-set on the version it read. It stops at the
 // first failure, which may be ErrConflict if another operator got there
 // between the read and the write.
-func Sync(ctx context.Context, c *platform.Client, f File, author string, now time.Time) ([]Outcome, error) {
+func Sync(ctx context.Context, c *platform.Client, f File, author string, now time.Time) ([]SyncResult, error) {
 	type item struct {
 		key   string
 		value any
@@ -83,7 +83,7 @@
 	for _, e := range f.Entries {
 		items = append(items, item{EntryPrefix + e.Name, e})
 	}
-	var out []Outcome
+	var out []SyncResult
 	for _, it := range items {
 		o, err := syncItem(ctx, c, it.key, it.value, author, now)
 		if err != nil {
@@ -94,22 +94,22 @@
 	return out, nil
 }
 
-func syncItem(ctx context.Context, c *platform.Client, key string, v any, author string, now time.Time) (Outcome, error) {
+func syncItem(ctx context.Context, c *platform.Client, key string, v any, author string, now time.Time) (SyncResult, error) {
 	row, err := c.Get(ctx, key)
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
-		return Outcome{}, err
+		return SyncResult{}, err
 	}
 	if err == nil {
 		v = withKeys(v, row.Value)
 	}
 	if err == nil && sameItem(row.Value, v) {
-		return Outcome{Key: key, Version: row.Version}, nil
+		return SyncResult{Key: key, Version: row.Version}, nil
 	}
 	got, err := Apply(ctx, c, Edit{Key: key, ExpectVersion: row.Version, Value: v, Author: author, At: now})
 	if err != nil {
-		return Outcome{}, err
+		return SyncResult{}, err
 	}
-	return Outcome{Key: key, Changed: true, Version: got.Version}, nil
+	return SyncResult{Key: key, Changed: true, Version: got.Version}, nil
 }
 
 // withKeys returns a customer from a file without keys with those that are stored:
--- a/pkg/catalogue/keys.go
+++ b/pkg/catalogue/keys.go
@@ -23,9 +23,9 @@
 	return hex.EncodeToString(d[:])
 }
 
-// Admits reports whether a caller with key may act for c: a customer that has no
+// AcceptsKey reports whether a caller with key may act for c: a customer that has no
 // keys needs none.
-func (c Customer) Admits(key string) bool {
+func (c Customer) AcceptsKey(key string) bool {
 	return len(c.KeyDigests) == 0 || slices.Contains(c.KeyDigests, KeyDigest(key))
 }
 
--- a/pkg/catalogue/keys_test.go
+++ b/pkg/catalogue/keys_test.go
@@ -40,7 +40,7 @@
 		return snap.Customers[owner]
 	}
 	sync()
-	if !stored().Admits("") {
+	if !stored().AcceptsKey("") {
 		t.Error("a key is needed before there is one")
 	}
 	if err := catalogue.AddKey(ctx, c, "nobody", "first-key", "ana", now); err == nil {
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	sync()
-	if cu := stored(); !cu.Admits("first-key") || !cu.Admits("second-key") || cu.Admits("") || cu.Admits(cu.KeyDigests[0]) {
+	if cu := stored(); !cu.AcceptsKey("first-key") || !cu.AcceptsKey("second-key") || cu.AcceptsKey("") || cu.AcceptsKey(cu.KeyDigests[0]) {
 		t.Errorf("keys %v", cu.KeyDigests)
 	}
 	if err := catalogue.Remove(ctx, c, catalogue.CustomerPrefix+owner, "rui", now); !errors.Is(err, catalogue.ErrInUse) {
@@ -69,7 +69,7 @@
 			t.Errorf("removed %s", digest)
 		}
 	}
-	if cu := stored(); cu.Admits("first-key") || !cu.Admits("second-key") {
+	if cu := stored(); cu.AcceptsKey("first-key") || !cu.AcceptsKey("second-key") {
 		t.Errorf("keys %v after one was taken away", cu.KeyDigests)
 	}
 	changes, err := catalogue.Audit(ctx, c, catalogue.CustomerPrefix+owner)
--- a/pkg/catalogue/revision.go
+++ b/pkg/catalogue/revision.go
@@ -28,9 +28,9 @@
 	Recent []string `json:"recent"` // keys of the last changes, newest last
 }
 
-// Since returns the keys changed after revision number known, without
+// ChangedSince returns the keys changed after revision number known, without
 // repeats, and whether r still remembers all of them.
-func (r Revision) Since(known uint64) (keys []string, ok bool) {
+func (r Revision) ChangedSince(known uint64) (keys []string, ok bool) {
 	if known >= r.Number {
 		return nil, true
 	}
@@ -73,11 +73,11 @@
 	return r, row.Version, nil
 }
 
-// CommitRevised commits ops together with a new revision that names key as
+// CommitWithRevision commits ops together with a new revision that names key as
 // changed, and returns the rows of ops. It retries when only the revision
 // row moved. A failed condition of ops is a *platform.ConflictError; a
 // platform.ErrUnavailable means the outcome is unknown.
-func CommitRevised(ctx context.Context, c *platform.Client, key string, ops ...platform.Op) ([]platform.Row, error) {
+func CommitWithRevision(ctx context.Context, c *platform.Client, key string, ops ...platform.Op) ([]platform.Row, error) {
 	same := func() ([]platform.Op, error) { return ops, nil }
 	for range revisionTries {
 		rows, err := commitOnce(ctx, c, key, same)
--- a/pkg/catalogue/store.go
+++ b/pkg/catalogue/store.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return platform.Row{}, err
 	}
-	rows, err := CommitRevised(ctx, c, e.Key, item, audit)
+	rows, err := CommitWithRevision(ctx, c, e.Key, item, audit)
 	var ce *platform.ConflictError
 	if errors.As(err, &ce) {
 		return platform.Row{}, fmt.Errorf("%w: %s is at version %d, not %d", ErrConflict, e.Key, ce.Current.Version, e.ExpectVersion)
@@ -117,7 +117,7 @@
 // confirm finds out whether a change whose reply was lost was accepted, by
 // its audit record, and returns the item's row if so, or else cause.
 func confirm(ctx context.Context, c *platform.Client, key string, audit platform.Op, cause error) (platform.Row, error) {
-	if ok, err := Audited(ctx, c, audit); err != nil || !ok {
+	if ok, err := AuditRecorded(ctx, c, audit); err != nil || !ok {
 		return platform.Row{}, cause
 	}
 	return c.Get(ctx, key)
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -48,8 +48,8 @@
 const (
 	day       = 24 * time.Hour
 	dayFormat = time.DateOnly
-	// DaysKept is how many days before today a bucket is kept.
-	DaysKept = 2
+	// RetentionDays is how many days before today a bucket is kept.
+	RetentionDays = 2
 )
 
 // Key returns the row key of a call's claim in the bucket of day at.
@@ -63,11 +63,11 @@
 
 // Config is what claimers need.
 type Config struct {
-	Get        func(ctx context.Context, key string) (platform.Row, error)
-	Commit     func(ctx context.Context, ops ...platform.Op) ([]platform.Row, error)
-	Clock      clock.Clock
-	Timeout    time.Duration    // of a read that confirms a write
-	ComeBackAt func() time.Time // when a caller that is turned away may come back
+	Get     func(ctx context.Context, key string) (platform.Row, error)
+	Commit  func(ctx context.Context, ops ...platform.Op) ([]platform.Row, error)
+	Clock   clock.Clock
+	Timeout time.Duration    // of a read that confirms a write
+	RetryAt func() time.Time // when a caller that is turned away may come back
 }
 
 // Claimer takes and moves one call's claim.
@@ -92,10 +92,10 @@
 // tries bounds Take under attempts that race.
 const tries = 4
 
-// Take makes this attempt the claim's holder, in state claimed. A claim
+// Acquire makes this attempt the claim's holder, in state claimed. A claim
 // that is done gives its recorded answer instead; one that is sending
 // means the call may have run, and it is not sent again.
-func (c *Claimer) Take(ctx context.Context) (platform.Row, json.RawMessage, error) {
+func (c *Claimer) Acquire(ctx context.Context) (platform.Row, json.RawMessage, error) {
 	var expect uint64
 	for range tries {
 		row, err := c.write(ctx, expect, Record{Attempt: c.attempt, State: Claimed, Digest: c.digest})
@@ -151,9 +151,9 @@
 	return rows[0], nil
 }
 
-// Move rewrites the claim from row to state next, with the answer if there is one, failing NotRun if another
+// SetState rewrites the claim from row to state next, with the answer if there is one, failing NotRun if another
 // attempt took it over meanwhile.
-func (c *Claimer) Move(ctx context.Context, row platform.Row, next State, answer json.RawMessage) (platform.Row, error) {
+func (c *Claimer) SetState(ctx context.Context, row platform.Row, next State, answer json.RawMessage) (platform.Row, error) {
 	got, err := c.write(ctx, row.Version, Record{Attempt: c.attempt, State: next, Answer: answer, Digest: c.digest})
 	var ce *platform.ConflictError
 	switch {
@@ -206,6 +206,6 @@
 
 // unsent is the error of a call refused before it was sent.
 func (c *Claimer) unsent(err error) error {
-	return verdict.Refuse(http.StatusServiceUnavailable, c.cfg.ComeBackAt(),
+	return verdict.Refuse(http.StatusServiceUnavailable, c.cfg.RetryAt(),
 		fmt.Errorf("call: not sent: %w", err))
 }
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -22,33 +22,33 @@
 	defer hs.Close()
 	ctx, store := context.Background(), platform.NewClient(hs.URL, nil)
 	now := clock.NewFake(time.Unix(1_800_000_000, 0))
-	cfg := claim.Config{Get: store.Get, Commit: store.Commit, Clock: now, Timeout: time.Second, ComeBackAt: now.Now}
+	cfg := claim.Config{Get: store.Get, Commit: store.Commit, Clock: now, Timeout: time.Second, RetryAt: now.Now}
 	first, second := claim.New(cfg, "a/1", "minho/plans/k", "d"), claim.New(cfg, "b/1", "minho/plans/k", "d")
-	row, _, err := first.Take(ctx)
+	row, _, err := first.Acquire(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken, answer, err := second.Take(ctx)
+	taken, answer, err := second.Acquire(ctx)
 	if err != nil || answer != nil {
 		t.Fatal(answer, err)
 	}
-	if _, err := first.Move(ctx, row, claim.Sending, nil); verdict.Of(err) != verdict.NotRun {
+	if _, err := first.SetState(ctx, row, claim.Sending, nil); verdict.Of(err) != verdict.NotRun {
 		t.Fatalf("sent though another attempt took it over: %v", err)
 	}
-	if taken, err = second.Move(ctx, taken, claim.Sending, nil); err != nil {
+	if taken, err = second.SetState(ctx, taken, claim.Sending, nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := claim.New(cfg, "c/1", "minho/plans/k", "d").Take(ctx); verdict.Of(err) != verdict.MayHaveRun {
+	if _, _, err := claim.New(cfg, "c/1", "minho/plans/k", "d").Acquire(ctx); verdict.Of(err) != verdict.MayHaveRun {
 		t.Fatalf("a call that may have run is claimed: %v", err)
 	}
-	if _, err := second.Move(ctx, taken, claim.Done, json.RawMessage(`"answer"`)); err != nil {
+	if _, err := second.SetState(ctx, taken, claim.Done, json.RawMessage(`"answer"`)); err != nil {
 		t.Fatal(err)
 	}
 	now.Advance(23 * time.Hour)
-	if _, answer, err := claim.New(cfg, "d/1", "minho/plans/k", "d").Take(ctx); err != nil || string(answer) != `"answer"` {
+	if _, answer, err := claim.New(cfg, "d/1", "minho/plans/k", "d").Acquire(ctx); err != nil || string(answer) != `"answer"` {
 		t.Fatal(string(answer), err)
 	}
-	if _, _, err := claim.New(cfg, "e/1", "minho/plans/k", "other").Take(ctx); !errors.Is(err, claim.ErrOtherRequest) || verdict.Of(err) != verdict.NotRun {
+	if _, _, err := claim.New(cfg, "e/1", "minho/plans/k", "other").Acquire(ctx); !errors.Is(err, claim.ErrOtherRequest) || verdict.Of(err) != verdict.NotRun {
 		t.Fatalf("another request with the key: %v", err)
 	}
 }
--- a/pkg/clock/wakeup.go
+++ b/pkg/clock/wakeup.go
@@ -12,8 +12,8 @@
 // NewWakeup returns a Wakeup that has not rung.
 func NewWakeup() Wakeup { return make(Wakeup, 1) }
 
-// Ring ends the wait that is under way, or the next one.
-func (w Wakeup) Ring() {
+// Signal ends the wait that is under way, or the next one.
+func (w Wakeup) Signal() {
 	select {
 	case w <- struct{}{}:
 	default: // it has rung already
--- a/pkg/control/catalogue.go
+++ b/pkg/control/catalogue.go
@@ -39,16 +39,16 @@
 	s.engines, s.poolsOf = engineAddrs(v.Pools)
 	s.View = v
 	s = s.choosePools()
-	return s, append(effs, Publish{v},
+	return s, append(effs, PublishView{v},
 		LogChange{Message: "catalogue applied", Fields: []any{"items", changed, "revision", s.revision}},
-		HintPeers{Revision: s.revision, Draining: s.self.Draining})
+		NotifyPeers{Revision: s.revision, Draining: s.self.Draining})
 }
 
 // cloneCatalogue returns a copy of v whose catalogue can be changed.
 func (v *View) cloneCatalogue() *View {
 	n := v.clone()
 	n.Entries, n.Pools, n.Customers = maps.Clone(v.Entries), maps.Clone(v.Pools), maps.Clone(v.Customers)
-	n.Versions, n.Targets, n.Newest = maps.Clone(v.Versions), maps.Clone(v.Targets), maps.Clone(v.Newest)
+	n.RowVersions, n.Targets, n.NewestVersions = maps.Clone(v.RowVersions), maps.Clone(v.Targets), maps.Clone(v.NewestVersions)
 	return n
 }
 
@@ -56,11 +56,11 @@
 // what it holds. It returns the newest row version applied and how many were.
 func (v *View) apply(snap catalogue.Snapshot, targets map[string]weights.Target) (newest uint64, changed int) {
 	for key, version := range snap.Versions {
-		if version <= v.Versions[key] {
+		if version <= v.RowVersions[key] {
 			continue // never go back to an older version
 		}
 		changed++
-		v.Versions[key] = version
+		v.RowVersions[key] = version
 		newest = max(newest, version)
 		name := key[strings.LastIndexByte(key, '/')+1:]
 		switch {
@@ -72,7 +72,7 @@
 			setItem(v.Customers, name, snap.Customers[name], snap.Customers[name].Removed)
 		case strings.HasPrefix(key, weights.TargetPrefix):
 			v.Targets[name] = targets[name]
-			v.Newest[name] = max(v.Newest[name], targets[name].Version)
+			v.NewestVersions[name] = max(v.NewestVersions[name], targets[name].Version)
 		}
 	}
 	return newest, changed
@@ -93,7 +93,7 @@
 		if !strings.HasPrefix(r.Key, weights.TargetPrefix) {
 			continue
 		}
-		t, err := weights.Decode(r)
+		t, err := weights.DecodeTarget(r)
 		if err != nil {
 			return nil, err
 		}
--- a/pkg/control/control_test.go
+++ b/pkg/control/control_test.go
@@ -118,7 +118,7 @@
 		if s, effs = control.Reduce(s, control.StepsRead{Heads: heads}); len(shards(effs)) != 0 {
 			t.Fatalf("%s runs %v again", id, shards(effs))
 		}
-		s, _ = control.Reduce(s, control.DrainBegun{})
+		s, _ = control.Reduce(s, control.DrainStarted{})
 		for _, shard := range mine {
 			var k int
 			if _, err := fmt.Sscanf(shard, "c/e/s/%d", &k); err != nil {
--- a/pkg/control/events.go
+++ b/pkg/control/events.go
@@ -45,8 +45,8 @@
 		At      time.Time
 		Err     error
 	}
-	// RolloutLease tells how taking a pool's rollout lease ended.
-	RolloutLease struct {
+	// RolloutLeaseDone tells how taking a pool's rollout lease ended.
+	RolloutLeaseDone struct {
 		Pool string
 		Held lease.Held
 		Err  error
@@ -54,18 +54,18 @@
 	// OrderEnded tells how a load order ended.
 	OrderEnded struct {
 		Pool    string
-		Ordered weights.Ordered
+		Ordered weights.OrderEnded
 	}
 	// SweepDone tells how many samples a sweep has sent.
 	SweepDone struct {
 		Sent int
 		Err  error
 	}
-	// DrainBegun tells that this instance is to stop.
-	DrainBegun struct{}
-	// Hinted is a peer's word that the catalogue changed at revision, or
+	// DrainStarted tells that this instance is to stop.
+	DrainStarted struct{}
+	// PeerNotified is a peer's word that the catalogue changed at revision, or
 	// that the peer is draining.
-	Hinted struct {
+	PeerNotified struct {
 		Revision uint64
 		Draining bool
 		Changed  bool // this instance itself changed the catalogue's rows
@@ -87,20 +87,20 @@
 	ShardEnded struct{ ID ShardID }
 )
 
-func (Tick) isEvent()          {}
-func (CatalogueRead) isEvent() {}
-func (MembersRead) isEvent()   {}
-func (HeartbeatDone) isEvent() {}
-func (ReportRead) isEvent()    {}
-func (SweepDone) isEvent()     {}
-func (DrainBegun) isEvent()    {}
-func (RolloutLease) isEvent()  {}
-func (OrderEnded) isEvent()    {}
-func (Hinted) isEvent()        {}
-func (StepsRead) isEvent()     {}
-func (StepAccepted) isEvent()  {}
-func (InstancesRead) isEvent() {}
-func (ShardEnded) isEvent()    {}
+func (Tick) isEvent()             {}
+func (CatalogueRead) isEvent()    {}
+func (MembersRead) isEvent()      {}
+func (HeartbeatDone) isEvent()    {}
+func (ReportRead) isEvent()       {}
+func (SweepDone) isEvent()        {}
+func (DrainStarted) isEvent()     {}
+func (RolloutLeaseDone) isEvent() {}
+func (OrderEnded) isEvent()       {}
+func (PeerNotified) isEvent()     {}
+func (StepsRead) isEvent()        {}
+func (StepAccepted) isEvent()     {}
+func (InstancesRead) isEvent()    {}
+func (ShardEnded) isEvent()       {}
 
 // Effect is something that Reduce asks its caller to do.
 type Effect interface{ isEffect() }
@@ -139,8 +139,8 @@
 		Pool  string
 		Order weights.Order
 	}
-	// Publish has traffic read View from now on.
-	Publish struct{ View *View }
+	// PublishView has traffic read View from now on.
+	PublishView struct{ View *View }
 	// StoreReport keeps an engine's load report for traffic.
 	StoreReport struct {
 		Address string
@@ -151,8 +151,8 @@
 		Message string
 		Fields  []any
 	}
-	// HintPeers tells other instances what has changed.
-	HintPeers struct {
+	// NotifyPeers tells other instances what has changed.
+	NotifyPeers struct {
 		Revision uint64
 		Draining bool
 		Steps    bool
@@ -177,10 +177,10 @@
 func (TakeRolloutLease) isEffect()    {}
 func (ReleaseRolloutLease) isEffect() {}
 func (SendOrder) isEffect()           {}
-func (Publish) isEffect()             {}
+func (PublishView) isEffect()         {}
 func (StoreReport) isEffect()         {}
 func (LogChange) isEffect()           {}
-func (HintPeers) isEffect()           {}
+func (NotifyPeers) isEffect()         {}
 func (ReadInstances) isEffect()       {}
 func (ReadSteps) isEffect()           {}
 func (RunShard) isEffect()            {}
--- a/pkg/control/loads.go
+++ b/pkg/control/loads.go
@@ -36,25 +36,25 @@
 	return rep.LoadReport, ok
 }
 
-// Others returns how many requests of others the engine at addr is believed
+// OtherRequests returns how many requests of others the engine at addr is believed
 // to hold.
-func (t *LoadTable) Others(addr string) int64 {
+func (t *LoadTable) OtherRequests(addr string) int64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.reports[addr].others
 }
 
-// Put stores rep, read while this instance had own requests in flight at the
+// PutReport stores rep, read while this instance had own requests in flight at the
 // engine.
-func (t *LoadTable) Put(addr string, rep engine.LoadReport, own int64) {
+func (t *LoadTable) PutReport(addr string, rep engine.LoadReport, own int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reports[addr] = loadReport{LoadReport: rep, others: othersIn(engine.Load{Active: rep.Active, Queued: rep.Queued}, own)}
 }
 
-// Told stores the load that the engine at addr told with an answer, while
+// PutLoad stores the load that the engine at addr told with an answer, while
 // this instance had own requests in flight at it.
-func (t *LoadTable) Told(addr string, l engine.Load, own int64) {
+func (t *LoadTable) PutLoad(addr string, l engine.Load, own int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rep, ok := t.reports[addr]
--- a/pkg/control/members.go
+++ b/pkg/control/members.go
@@ -68,7 +68,7 @@
 	v.Members = live
 	s.View = v
 	s = s.choosePools()
-	return s, []Effect{Publish{v}, LogChange{Message: "membership changed", Fields: []any{"live", len(live)}}}
+	return s, []Effect{PublishView{v}, LogChange{Message: "membership changed", Fields: []any{"live", len(live)}}}
 }
 
 func (s State) sighted(r platform.Row, now time.Time) sighting {
@@ -143,5 +143,5 @@
 		v.Instances[in.Address] = in.State
 	}
 	s.View = v
-	return s, []Effect{Publish{v}}
+	return s, []Effect{PublishView{v}}
 }
--- a/pkg/control/reduce.go
+++ b/pkg/control/reduce.go
@@ -16,7 +16,7 @@
 		return s.onHeartbeat(e)
 	case ReportRead:
 		return s.onReport(e)
-	case RolloutLease:
+	case RolloutLeaseDone:
 		return s.onRolloutLease(e)
 	case OrderEnded:
 		return s.onOrderEnded(e)
@@ -30,9 +30,9 @@
 		return s.onShardEnded(e)
 	case SweepDone:
 		return s.onSweep(e)
-	case DrainBegun:
+	case DrainStarted:
 		return s.onDrain()
-	case Hinted:
+	case PeerNotified:
 		return s.onHint(e), nil
 	}
 	return s, nil
@@ -53,12 +53,12 @@
 	v := s.View.clone()
 	v.Draining = true
 	s.View = v
-	return s.soon(heartbeatTask), []Effect{Publish{v}, LogChange{Message: "draining", Fields: []any{"id", s.self.ID}},
-		HintPeers{Revision: s.revision, Draining: true}}
+	return s.soon(heartbeatTask), []Effect{PublishView{v}, LogChange{Message: "draining", Fields: []any{"id", s.self.ID}},
+		NotifyPeers{Revision: s.revision, Draining: true}}
 }
 
 // onHint makes due at once what the hint says has changed.
-func (s State) onHint(e Hinted) State {
+func (s State) onHint(e PeerNotified) State {
 	if e.Revision > s.revision || e.Draining || e.Changed {
 		s = s.soon(catalogueTask)
 	}
--- a/pkg/control/rollout.go
+++ b/pkg/control/rollout.go
@@ -29,10 +29,10 @@
 		cfg := s.timing.Rollout
 		cfg.MaxLoading = p.LoadingBudget()
 		pr.Rollout.Config = cfg
-		pr.Rollout, _ = pr.Reduce(weights.Pool{Addresses: p.Orderable()})
-		pr.Rollout, _ = pr.Reduce(weights.Named{Version: s.View.Targets[name].Version})
+		pr.Rollout, _ = pr.Reduce(weights.EnginesChanged{Addresses: p.LoadableEngines()})
+		pr.Rollout, _ = pr.Reduce(weights.TargetChanged{Version: s.View.Targets[name].Version})
 		if pr.Idle() && (!preferred || pr.Converged()) && pr.Fencing != 0 {
-			pr.Rollout, _ = pr.Reduce(weights.Lost{})
+			pr.Rollout, _ = pr.Reduce(weights.LeaseLost{})
 			pr.nextLease = time.Time{} // the next version need not wait
 			effs = append(effs, ReleaseRolloutLease{Pool: name})
 		}
@@ -75,7 +75,7 @@
 // stepRollout takes the lease while engines are behind, sends the orders
 // due and reads the reports due.
 func (s State) stepRollout(name string, pr poolRollout, preferred bool, now time.Time, effs []Effect) (State, poolRollout, []Effect) {
-	behind := pr.Behind()
+	behind := pr.Outdated()
 	if preferred && len(behind) > 0 && !now.Before(pr.nextLease) {
 		var ok bool
 		if s, ok = s.begin(task{kind: rolloutTask, name: name}); ok {
@@ -105,7 +105,7 @@
 // outstanding.
 func (s State) probe(addrs []string, pr poolRollout, effs []Effect) (State, []Effect) {
 	for _, a := range addrs {
-		if pr.Engines[a].OrderEndsAt.IsZero() {
+		if pr.Engines[a].OrderDeadline.IsZero() {
 			s, effs = s.readReport(a, effs)
 		}
 	}
@@ -121,7 +121,7 @@
 	return s
 }
 
-func (s State) onRolloutLease(e RolloutLease) (State, []Effect) {
+func (s State) onRolloutLease(e RolloutLeaseDone) (State, []Effect) {
 	s = s.ended(task{kind: rolloutTask, name: e.Pool})
 	pr, ok := s.rollouts[e.Pool]
 	if !ok {
@@ -130,9 +130,9 @@
 	before := pr.Fencing != 0
 	switch {
 	case e.Err == nil:
-		pr.Rollout, _ = pr.Reduce(weights.Held{Fencing: e.Held.Fencing, Until: e.Held.ValidUntil})
+		pr.Rollout, _ = pr.Reduce(weights.LeaseHeld{Fencing: e.Held.Fencing, Until: e.Held.ValidUntil})
 	case errors.Is(e.Err, lease.ErrHeld):
-		pr.Rollout, _ = pr.Reduce(weights.Lost{})
+		pr.Rollout, _ = pr.Reduce(weights.LeaseLost{})
 	}
 	s = s.withRollout(e.Pool, pr)
 	if held := pr.Fencing != 0; held && !before {
@@ -162,14 +162,14 @@
 	}
 	effs := []Effect{StoreReport{Address: e.Address, Report: e.Report}}
 	for _, name := range s.poolsOf[e.Address] {
-		if _, named := s.View.Targets[name]; !named && e.Report.WeightVersion > s.View.Newest[name] {
+		if _, named := s.View.Targets[name]; !named && e.Report.WeightVersion > s.View.NewestVersions[name] {
 			s.View = s.View.clone()
-			s.View.Newest = maps.Clone(s.View.Newest)
-			s.View.Newest[name] = e.Report.WeightVersion
-			effs = append(effs, Publish{s.View})
+			s.View.NewestVersions = maps.Clone(s.View.NewestVersions)
+			s.View.NewestVersions[name] = e.Report.WeightVersion
+			effs = append(effs, PublishView{s.View})
 		}
 		if pr, ok := s.rollouts[name]; ok {
-			pr.Rollout, _ = pr.Reduce(weights.Reported{Address: e.Address, Report: e.Report, At: e.At})
+			pr.Rollout, _ = pr.Reduce(weights.LoadReported{Address: e.Address, Report: e.Report, At: e.At})
 			s = s.withRollout(name, pr)
 		}
 	}
--- a/pkg/control/state.go
+++ b/pkg/control/state.go
@@ -62,7 +62,7 @@
 		timing: t,
 		View: &View{Entries: map[string]catalogue.Entry{}, Customers: map[string]catalogue.Customer{},
 			Instances: map[string]platform.InstanceState{}, Pools: map[string]catalogue.Pool{},
-			Versions: map[string]uint64{}, Targets: map[string]weights.Target{}, Loads: newLoadTable(), Newest: map[string]uint64{}},
+			RowVersions: map[string]uint64{}, Targets: map[string]weights.Target{}, Loads: newLoadTable(), NewestVersions: map[string]uint64{}},
 		pending:    map[task]bool{},
 		next:       map[taskKind]time.Time{},
 		platformOK: true,
--- a/pkg/control/steps.go
+++ b/pkg/control/steps.go
@@ -30,7 +30,7 @@
 	}
 	s.stepsSeen = seen
 	if fresh {
-		effs = append(effs, HintPeers{Revision: s.revision, Draining: s.self.Draining, Steps: true})
+		effs = append(effs, NotifyPeers{Revision: s.revision, Draining: s.self.Draining, Steps: true})
 	}
 	return s, effs
 }
--- a/pkg/control/view.go
+++ b/pkg/control/view.go
@@ -14,27 +14,27 @@
 
 // Member is an entry instance as seen through its membership lease.
 type Member struct {
-	ID         string `json:"id"`
-	Address    string `json:"address"` // where callers connect
-	Peer       string `json:"peer"`    // where other instances connect
-	DataCentre string `json:"data_centre"`
-	Draining   bool   `json:"draining"`
+	ID          string `json:"id"`
+	Address     string `json:"address"` // where callers connect
+	PeerAddress string `json:"peer"`    // where other instances connect
+	DataCentre  string `json:"data_centre"`
+	Draining    bool   `json:"draining"`
 }
 
 // View is the control state that traffic reads: published whole by the
 // control goroutine and never changed after, but for load reports, which are
 // kept in one table so that a report does not publish a new View.
 type View struct {
-	Entries   map[string]catalogue.Entry
-	Pools     map[string]catalogue.Pool
-	Customers map[string]catalogue.Customer
-	Instances map[string]platform.InstanceState // by address, as the platform's list last had it
-	Versions  map[string]uint64                 // catalogue row key → version applied
-	Members   []Member                          // live members, by ID
-	Loads     *LoadTable
-	Targets   map[string]weights.Target // pool → the version its trainer named
-	Newest    map[string]uint64         // pool → newest weight version named, or reported where none is
-	Draining  bool
+	Entries        map[string]catalogue.Entry
+	Pools          map[string]catalogue.Pool
+	Customers      map[string]catalogue.Customer
+	Instances      map[string]platform.InstanceState // by address, as the platform's list last had it
+	RowVersions    map[string]uint64                 // catalogue row key → version applied
+	Members        []Member                          // live members, by ID
+	Loads          *LoadTable
+	Targets        map[string]weights.Target // pool → the version its trainer named
+	NewestVersions map[string]uint64         // pool → newest weight version named, or reported where none is
+	Draining       bool
 }
 
 func (v *View) clone() *View {
@@ -57,36 +57,36 @@
 // Report returns the last load report of the engine at addr, if there is one.
 func (v *View) Report(addr string) (engine.LoadReport, bool) { return v.Loads.get(addr) }
 
-// ReportOf returns the last load report of the engine at addr, or a zero one.
-func (v *View) ReportOf(addr string) engine.LoadReport {
+// ReportOrZero returns the last load report of the engine at addr, or a zero one.
+func (v *View) ReportOrZero(addr string) engine.LoadReport {
 	rep, _ := v.Loads.get(addr)
 	return rep
 }
 
-// LeavingUpstream reports whether the upstream at addr is leaving by the
+// UpstreamLeaving reports whether the upstream at addr is leaving by the
 // platform's list or its own report, whatever the catalogue says.
-func (v *View) LeavingUpstream(addr string) bool {
-	return v.Instances[addr] == platform.InstanceLeaving || v.ReportOf(addr).Leaving
+func (v *View) UpstreamLeaving(addr string) bool {
+	return v.Instances[addr] == platform.InstanceLeaving || v.ReportOrZero(addr).Leaving
 }
 
-// Live returns the upstreams of the pool that take new work.
-func (v *View) Live(pool string, kind catalogue.Kind) []catalogue.Upstream {
+// LiveUpstreams returns the upstreams of the pool that take new work.
+func (v *View) LiveUpstreams(pool string, kind catalogue.Kind) []catalogue.Upstream {
 	p, ok := v.Pools[pool]
 	if !ok || p.Kind != kind {
 		return nil
 	}
 	out := make([]catalogue.Upstream, 0, len(p.Upstreams))
 	for _, u := range p.Upstreams {
-		if u.State == catalogue.Live && !v.LeavingUpstream(u.Address) {
+		if u.State == catalogue.Live && !v.UpstreamLeaving(u.Address) {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-// OutOfBound reports whether version is older than e allows of a sample.
-func (v *View) OutOfBound(e catalogue.Entry, version uint64) bool {
-	return version+e.MaxVersionLag < v.Newest[e.Pool]
+// VersionTooOld reports whether version is older than e allows of a sample.
+func (v *View) VersionTooOld(e catalogue.Entry, version uint64) bool {
+	return version+e.MaxVersionLag < v.NewestVersions[e.Pool]
 }
 
 // Routable returns the members that accept new callers, by ID.
@@ -104,9 +104,9 @@
 	sort.Slice(ms, func(i, j int) bool { return ms[i].ID < ms[j].ID })
 }
 
-// Knows reports whether customer is in the catalogue, by itself or as the owner
+// HasCustomer reports whether customer is in the catalogue, by itself or as the owner
 // of an entry, or the catalogue has not been read yet.
-func (v *View) Knows(customer string) bool {
+func (v *View) HasCustomer(customer string) bool {
 	if _, ok := v.Customers[customer]; ok || len(v.Entries) == 0 {
 		return true
 	}
--- a/pkg/customer/customer.go
+++ b/pkg/customer/customer.go
@@ -61,9 +61,9 @@
 	return x, nil
 }
 
-// Find returns the customer who has key. Keys are compared by their digests, so
+// FindByKey returns the customer who has key. Keys are compared by their digests, so
 // that the time it takes tells nothing of them.
-func (x *Index) Find(key string) (Customer, bool) {
+func (x *Index) FindByKey(key string) (Customer, bool) {
 	if x == nil || key == "" {
 		return Customer{}, false
 	}
@@ -71,8 +71,8 @@
 	return c, ok
 }
 
-// Named returns the customer with a name.
-func (x *Index) Named(name string) (Customer, bool) {
+// FindByName returns the customer with a name.
+func (x *Index) FindByName(name string) (Customer, bool) {
 	if x == nil {
 		return Customer{}, false
 	}
@@ -80,8 +80,8 @@
 	return e.Customer, ok
 }
 
-// Size returns how many customers there are.
-func (x *Index) Size() int {
+// Len returns how many customers there are.
+func (x *Index) Len() int {
 	if x == nil {
 		return 0
 	}
@@ -90,13 +90,13 @@
 
 // Diff tells what of an index is new against another, by the names of customers.
 type Diff struct {
-	Added   []string `json:"added,omitempty"`
-	Removed []string `json:"removed,omitempty"`
-	Rekeyed []string `json:"rekeyed,omitempty"` // keys were added or taken away
+	Added       []string `json:"added,omitempty"`
+	Removed     []string `json:"removed,omitempty"`
+	KeysChanged []string `json:"rekeyed,omitempty"` // keys were added or taken away
 }
 
 // Empty reports whether nothing is new.
-func (d Diff) Empty() bool { return len(d.Added)+len(d.Removed)+len(d.Rekeyed) == 0 }
+func (d Diff) Empty() bool { return len(d.Added)+len(d.Removed)+len(d.KeysChanged) == 0 }
 
 // Compare returns what x has new against old. Either may be nil.
 func (x *Index) Compare(old *Index) Diff {
@@ -107,7 +107,7 @@
 		case !ok:
 			d.Added = append(d.Added, name)
 		case !sameKeys(was, after[name]):
-			d.Rekeyed = append(d.Rekeyed, name)
+			d.KeysChanged = append(d.KeysChanged, name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(before)) {
--- a/pkg/customer/customer_test.go
+++ b/pkg/customer/customer_test.go
@@ -50,13 +50,13 @@
 		for i, x := range versions {
 			for k := range 12 {
 				key := fmt.Sprintf("key%d", k)
-				got, ok := x.Find(key)
+				got, ok := x.FindByKey(key)
 				if want, has := owners[i][key]; ok != has || got.Name != want {
 					t.Fatalf("version %d: %s is %q, want %q", i, key, got.Name, want)
 				}
 			}
 			for _, other := range []string{"", "c0", "key", "key1 "} {
-				if c, ok := x.Find(other); ok {
+				if c, ok := x.FindByKey(other); ok {
 					t.Fatalf("%q is a key of %s", other, c.Name)
 				}
 			}
@@ -87,10 +87,10 @@
 		t.Fatal(err)
 	}
 	for _, x := range []*customer.Index{nil, empty} {
-		if _, ok := x.Find("k"); ok {
+		if _, ok := x.FindByKey("k"); ok {
 			t.Error("found by a key")
 		}
-		if _, ok := x.Named("a"); ok || x.Size() != 0 {
+		if _, ok := x.FindByName("a"); ok || x.Len() != 0 {
 			t.Error("found by a name")
 		}
 	}
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	d := after.Compare(before)
-	if !slices.Equal(d.Added, []string{"new"}) || !slices.Equal(d.Removed, []string{"gone"}) || !slices.Equal(d.Rekeyed, []string{"more", "rotated"}) {
+	if !slices.Equal(d.Added, []string{"new"}) || !slices.Equal(d.Removed, []string{"gone"}) || !slices.Equal(d.KeysChanged, []string{"more", "rotated"}) {
 		t.Errorf("%+v", d)
 	}
 	if d := after.Compare(after); !d.Empty() {
@@ -117,7 +117,7 @@
 	if d := before.Compare(nil); len(d.Added) != 4 {
 		t.Errorf("against none: %+v", d)
 	}
-	if c, _ := after.Named("kept"); c.Priority.Or(7) != 0 {
+	if c, _ := after.FindByName("kept"); c.Priority.Or(7) != 0 {
 		t.Errorf("priority %d", c.Priority.Or(7))
 	}
 }
@@ -148,7 +148,7 @@
 	n := 0
 	for b.Loop() {
 		n++
-		if _, ok := x.Find(entries[n%len(entries)].Name); ok {
+		if _, ok := x.FindByKey(entries[n%len(entries)].Name); ok {
 			b.Fatal("a name is a key")
 		}
 	}
--- a/pkg/delivery/delivery_test.go
+++ b/pkg/delivery/delivery_test.go
@@ -46,10 +46,10 @@
 	view := control.New(control.Member{ID: "a"}, control.Timing{}).View
 	var attempts atomic.Int64
 	c := metrics.NewCounter
-	b.sender = delivery.NewSender(delivery.Config{Platform: platform.NewClient(table.URL, nil).Within(time.Second), Clock: clock.System{},
+	b.sender = delivery.NewSender(delivery.Config{Platform: platform.NewClient(table.URL, nil).WithTimeout(time.Second), Clock: clock.System{},
 		Logger: log.New(io.Discard), HTTP: http.DefaultClient, View: func() *control.View { return view },
-		Attempt: func() string { return fmt.Sprint("a/", attempts.Add(1)) }, Go: func(f func() error) { b.sends.Go(f) }, Leave: context.Background(),
-		Counters: delivery.Counters{Sent: c(), Stale: c(), Lost: c(), Retries: c(), Redelivered: c()}})
+		NewAttemptID: func() string { return fmt.Sprint("a/", attempts.Add(1)) }, Go: func(f func() error) { b.sends.Go(f) }, SendContext: context.Background(),
+		Counters: delivery.Counters{Delivered: c(), Stale: c(), Lost: c(), Retries: c(), Redelivered: c()}})
 	return b
 }
 
@@ -63,7 +63,7 @@
 	b := newBench(t)
 	b.trainer.DropAcks(1)
 	b.table.SetFaults(platformtest.Faults{LoseReplies: 1})
-	if id := b.sender.Sample(context.Background(), b.entry, sample("s1", 1)); id != "s1" {
+	if id := b.sender.RecordAndSend(context.Background(), b.entry, sample("s1", 1)); id != "s1" {
 		t.Fatalf("sample %q", id)
 	}
 	if err := b.sends.Wait(); err != nil {
@@ -79,14 +79,14 @@
 func TestOneRecordForOneSample(t *testing.T) {
 	b := newBench(t)
 	ctx := context.Background()
-	first, second := b.sender.New(b.entry, "s1", sample("s1", 1)), b.sender.New(b.entry, "s1", sample("s1", 1))
-	if _, err := b.sender.Keep(ctx, b.entry, first); err != nil {
+	first, second := b.sender.NewRecord(b.entry, "s1", sample("s1", 1)), b.sender.NewRecord(b.entry, "s1", sample("s1", 1))
+	if _, err := b.sender.CommitRecord(ctx, b.entry, first); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.sender.Keep(ctx, b.entry, second); !errors.Is(err, delivery.ErrRecorded) {
+	if _, err := b.sender.CommitRecord(ctx, b.entry, second); !errors.Is(err, delivery.ErrAlreadyRecorded) {
 		t.Fatalf("error %v for the second", err)
 	}
-	if _, err := b.sender.Keep(ctx, b.entry, first); err != nil {
+	if _, err := b.sender.CommitRecord(ctx, b.entry, first); err != nil {
 		t.Fatalf("error %v for the first one again", err)
 	}
 }
@@ -97,10 +97,10 @@
 	b := newBench(t)
 	b.table.Put(weights.TargetPrefix+"pool", weights.Target{Pool: "pool", Version: 5})
 	ctx := context.Background()
-	if _, err := b.sender.Keep(ctx, b.entry, b.sender.New(b.entry, "old", sample("old", 4, 3))); !errors.Is(err, delivery.ErrTooStale) {
+	if _, err := b.sender.CommitRecord(ctx, b.entry, b.sender.NewRecord(b.entry, "old", sample("old", 4, 3))); !errors.Is(err, delivery.ErrTooStale) {
 		t.Fatalf("error %v for a sample two versions behind", err)
 	}
-	if _, err := b.sender.Keep(ctx, b.entry, b.sender.New(b.entry, "new", sample("new", 4, 5))); err != nil {
+	if _, err := b.sender.CommitRecord(ctx, b.entry, b.sender.NewRecord(b.entry, "new", sample("new", 4, 5))); err != nil {
 		t.Fatalf("error %v for a sample one version behind", err)
 	}
 }
@@ -112,7 +112,7 @@
 	ctx := context.Background()
 	for i := range 3 {
 		id := fmt.Sprint("s", i)
-		if _, err := b.sender.Keep(ctx, b.entry, b.sender.New(b.entry, id, sample(id, 1))); err != nil {
+		if _, err := b.sender.CommitRecord(ctx, b.entry, b.sender.NewRecord(b.entry, id, sample(id, 1))); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/pkg/delivery/record.go
+++ b/pkg/delivery/record.go
@@ -36,7 +36,7 @@
 func (d Record) oldest() uint64 {
 	oldest := uint64(math.MaxUint64)
 	for _, s := range d.Samples {
-		oldest = min(oldest, s.Oldest())
+		oldest = min(oldest, s.OldestVersion())
 	}
 	return oldest
 }
--- a/pkg/delivery/sender.go
+++ b/pkg/delivery/sender.go
@@ -24,20 +24,20 @@
 
 // Config configures a Sender.
 type Config struct {
-	Platform *platform.Client
-	Clock    clock.Clock
-	Logger   *log.Logger
-	HTTP     *http.Client         // to trainers
-	View     func() *control.View // the control state in force
-	Attempt  func() string        // names one attempt of this process to make a record
-	Go       func(func() error)   // runs sends that nobody waits for
-	Leave    context.Context      // sends end with it; another instance sends what they leave
-	Counters Counters
+	Platform     *platform.Client
+	Clock        clock.Clock
+	Logger       *log.Logger
+	HTTP         *http.Client         // to trainers
+	View         func() *control.View // the control state in force
+	NewAttemptID func() string        // names one attempt of this process to make a record
+	Go           func(func() error)   // runs sends that nobody waits for
+	SendContext  context.Context      // sends end with it; another instance sends what they leave
+	Counters     Counters
 }
 
 // Counters count samples.
 type Counters struct {
-	Sent        metrics.Counter // that trainers have learned
+	Delivered   metrics.Counter // that trainers have learned
 	Stale       metrics.Counter // refused as too old
 	Lost        metrics.Counter // that could not be recorded
 	Retries     metrics.Counter // sends that were repeated
@@ -50,10 +50,10 @@
 // NewSender returns a Sender.
 func NewSender(cfg Config) *Sender { return &Sender{cfg: cfg} }
 
-// New returns the record of samples, under a key made from id.
-func (s *Sender) New(e catalogue.Entry, id string, samples ...trainer.Sample) Record {
+// NewRecord returns the record of samples, under a key made from id.
+func (s *Sender) NewRecord(e catalogue.Entry, id string, samples ...trainer.Sample) Record {
 	return Record{Key: Key(id), Samples: samples, Trainer: e.Trainer, Entry: e.Name, MaxVersionLag: e.MaxVersionLag,
-		Holder: s.cfg.Attempt(), CreatedAt: s.cfg.Clock.Now()}
+		Holder: s.cfg.NewAttemptID(), CreatedAt: s.cfg.Clock.Now()}
 }
 
 // deliveryTries bounds the sends of one sample on the request path; a
@@ -68,33 +68,33 @@
 // a sample still unsent then is left to the sweeper.
 const SendTimeout = 30 * time.Second
 
-// ErrRecorded means that the record of the same samples exists already,
+// ErrAlreadyRecorded means that the record of the same samples exists already,
 // made by another request; whoever made it sends them.
-var ErrRecorded = errors.New("delivery: samples recorded by another request")
+var ErrAlreadyRecorded = errors.New("delivery: samples recorded by another request")
 
 // ErrTooStale means that a sample is older than its catalogue entry allows.
 var ErrTooStale = errors.New("delivery: sample is of a weight version that is too old")
 
-// Sample records and sends one finished sample, and returns its ID, or ""
+// RecordAndSend records and sends one finished sample, and returns its ID, or ""
 // if it was refused as too stale. The caller does not wait for the trainer,
 // nor for a platform that does not answer.
-func (s *Sender) Sample(ctx context.Context, e catalogue.Entry, smp trainer.Sample) string {
-	d := s.New(e, smp.ID, smp)
-	switch _, err := s.Keep(ctx, e, d); {
+func (s *Sender) RecordAndSend(ctx context.Context, e catalogue.Entry, smp trainer.Sample) string {
+	d := s.NewRecord(e, smp.ID, smp)
+	switch _, err := s.CommitRecord(ctx, e, d); {
 	case errors.Is(err, ErrTooStale):
 		s.cfg.Counters.Stale.Inc(1)
 		return ""
-	case errors.Is(err, ErrRecorded):
+	case errors.Is(err, ErrAlreadyRecorded):
 	case err != nil:
-		s.Later(ctx, d, func(ctx context.Context) error { return s.recordThenSend(ctx, e, d) })
+		s.RunAsync(ctx, d, func(ctx context.Context) error { return s.recordThenSend(ctx, e, d) })
 	default:
-		s.Later(ctx, d, func(ctx context.Context) error { return s.send(ctx, d) })
+		s.RunAsync(ctx, d, func(ctx context.Context) error { return s.send(ctx, d) })
 	}
 	return smp.ID
 }
 
-// Later runs send on the group, bounded by SendTimeout.
-func (s *Sender) Later(ctx context.Context, d Record, send func(context.Context) error) {
+// RunAsync runs send on the group, bounded by SendTimeout.
+func (s *Sender) RunAsync(ctx context.Context, d Record, send func(context.Context) error) {
 	s.cfg.Go(func() error {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), SendTimeout)
 		defer cancel()
@@ -105,22 +105,22 @@
 	})
 }
 
-// Keep writes d in one transaction that commits only if the pool's weight
+// CommitRecord writes d in one transaction that commits only if the pool's weight
 // target is still the one the samples were checked against, so that no
 // sample is recorded that is older than its bound at that moment. It
 // returns ErrTooStale for such a sample and ErrRecorded if another request
-// made the record; with any other error the outcome is unknown, and Keep
+// made the record; with any other error the outcome is unknown, and CommitRecord
 // may be called again. Further ops commit together with the record. The
 // version returned is that of the rows written, or 0 if an earlier call,
 // whose reply was lost, wrote them.
-func (s *Sender) Keep(ctx context.Context, e catalogue.Entry, d Record, ops ...platform.Op) (version uint64, err error) {
+func (s *Sender) CommitRecord(ctx context.Context, e catalogue.Entry, d Record, ops ...platform.Op) (version uint64, err error) {
 	put, err := platform.Put(d.Key, 0, d)
 	if err != nil {
 		return 0, err
 	}
 	targetKey := weights.TargetPrefix + e.Pool
 	view := s.cfg.View()
-	newest, target := view.Newest[e.Pool], view.Versions[targetKey]
+	newest, target := view.NewestVersions[e.Pool], view.RowVersions[targetKey]
 	for {
 		if oldest := d.oldest(); oldest == 0 || oldest+e.MaxVersionLag < newest {
 			return 0, ErrTooStale
@@ -133,7 +133,7 @@
 		case !errors.As(err, &ce):
 			return 0, err
 		case ce.Key == targetKey:
-			t, err := weights.Decode(ce.Current)
+			t, err := weights.DecodeTarget(ce.Current)
 			if err != nil {
 				return 0, err
 			}
@@ -141,7 +141,7 @@
 		case ce.Key == d.Key && d.wrote(ce.Current):
 			return 0, nil
 		case ce.Key == d.Key:
-			return 0, ErrRecorded
+			return 0, ErrAlreadyRecorded
 		default:
 			return 0, err
 		}
@@ -156,10 +156,10 @@
 // Without a record nothing is sent: it would be of unknown age.
 func (s *Sender) recordThenSend(ctx context.Context, e catalogue.Entry, d Record) error {
 	for {
-		switch _, err := s.Keep(ctx, e, d); {
+		switch _, err := s.CommitRecord(ctx, e, d); {
 		case err == nil:
 			return s.send(ctx, d)
-		case errors.Is(err, ErrRecorded):
+		case errors.Is(err, ErrAlreadyRecorded):
 			return nil
 		case errors.Is(err, ErrTooStale):
 			s.cfg.Counters.Stale.Inc(1)
@@ -177,20 +177,20 @@
 	if _, err := s.Deliver(ctx, d); err != nil {
 		return err
 	}
-	return s.Forget(ctx, d.Key)
+	return s.DeleteRecord(ctx, d.Key)
 }
 
 // Deliver sends the recorded samples of d to their trainer, and reports
 // whether it learned them all or found some too old. If they have grown too
 // old since they were recorded they are not sent.
 func (s *Sender) Deliver(ctx context.Context, d Record) (learned bool, err error) {
-	if e, ok := s.cfg.View().Entries[d.Entry]; ok && s.cfg.View().OutOfBound(e, d.oldest()) {
+	if e, ok := s.cfg.View().Entries[d.Entry]; ok && s.cfg.View().VersionTooOld(e, d.oldest()) {
 		s.cfg.Counters.Stale.Inc(int64(len(d.Samples)))
 		return false, nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(s.cfg.Leave, cancel)()
+	defer context.AfterFunc(s.cfg.SendContext, cancel)()
 	tc := trainer.NewClient(d.Trainer, s.cfg.HTTP)
 	var ack trainer.Ack
 	for try := range deliveryTries {
@@ -201,7 +201,7 @@
 			}
 		}
 		if ack, err = tc.Deliver(ctx, trainer.Group{Samples: d.Samples, MaxVersionLag: d.MaxVersionLag}); err == nil {
-			s.cfg.Counters.Sent.Inc(int64(len(d.Samples) - len(ack.Stale)))
+			s.cfg.Counters.Delivered.Inc(int64(len(d.Samples) - len(ack.Stale)))
 			s.cfg.Counters.Stale.Inc(int64(len(ack.Stale)))
 			return len(ack.Stale) == 0, nil
 		}
@@ -209,9 +209,9 @@
 	return false, fmt.Errorf("deliver %s: %w", d.Key, err)
 }
 
-// Forget deletes the record at key, reading its version first, since a
+// DeleteRecord deletes the record at key, reading its version first, since a
 // lost reply may have hidden it from the writer.
-func (s *Sender) Forget(ctx context.Context, key string) error {
+func (s *Sender) DeleteRecord(ctx context.Context, key string) error {
 	row, err := s.cfg.Platform.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil
--- a/pkg/engine/client.go
+++ b/pkg/engine/client.go
@@ -90,8 +90,8 @@
 	return err
 }
 
-// Report returns the engine's load report.
-func (c *Client) Report(ctx context.Context) (LoadReport, error) {
+// LoadReport returns the engine's load report.
+func (c *Client) LoadReport(ctx context.Context) (LoadReport, error) {
 	var r LoadReport
 	err := c.server.Do(ctx, http.MethodGet, "/v1/load", nil, &r)
 	return r, err
--- a/pkg/engine/enginetest/load.go
+++ b/pkg/engine/enginetest/load.go
@@ -15,8 +15,8 @@
 // takes FetchTime while at most Free fetches are under way, and in
 // proportion longer with more.
 type WeightStore struct {
-	FetchTime time.Duration
-	Free      int
+	FetchTime       time.Duration
+	FullRateFetches int
 
 	mu      sync.Mutex
 	fetches int
@@ -26,7 +26,7 @@
 func (ws *WeightStore) fetch(ctx context.Context) error {
 	ws.mu.Lock()
 	ws.fetches++
-	load := max(1, float64(ws.fetches)/float64(max(1, ws.Free)))
+	load := max(1, float64(ws.fetches)/float64(max(1, ws.FullRateFetches)))
 	ws.mu.Unlock()
 	defer func() {
 		ws.mu.Lock()
--- a/pkg/engine/enginetest/server.go
+++ b/pkg/engine/enginetest/server.go
@@ -133,8 +133,8 @@
 	return s.requests
 }
 
-// Peak returns the most requests the stand-in has held at once.
-func (s *Server) Peak() int {
+// PeakRequests returns the most requests the stand-in has held at once.
+func (s *Server) PeakRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.peak
--- a/pkg/engine/enginetest/server_test.go
+++ b/pkg/engine/enginetest/server_test.go
@@ -60,7 +60,7 @@
 	if len(order) != 2 || order[0] != "interactive" {
 		t.Fatalf("finished in order %v, want interactive first", order)
 	}
-	rep, err := c.Report(context.Background())
+	rep, err := c.LoadReport(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/engine/request.go
+++ b/pkg/engine/request.go
@@ -29,8 +29,8 @@
 // status of requests.
 var ErrNoStatus = errors.New("engine: tells no request status")
 
-// Request returns the status of the request named id.
-func (c *Client) Request(ctx context.Context, id string) (RequestStatus, error) {
+// RequestStatus returns the status of the request named id.
+func (c *Client) RequestStatus(ctx context.Context, id string) (RequestStatus, error) {
 	var st RequestStatus
 	err := c.server.Do(ctx, http.MethodGet, "/v1/requests/"+url.PathEscape(id), nil, &st)
 	var se *httpjson.StatusError
--- a/pkg/entry/admit.go
+++ b/pkg/entry/admit.go
@@ -38,7 +38,7 @@
 // admitEntry takes a place for a request of e under the limits of e, its
 // customer and its class, to be given back with release.
 func (in *Instance) admitEntry(e catalogue.Entry) (release func(), err error) {
-	places := []admission.Place{
+	places := []admission.KeyLimit{
 		{Key: entryPlace + e.Name, Limit: e.Limits.MaxInFlight},
 		{Key: "customer:" + e.Owner, Limit: in.View().Customers[e.Owner].MaxInFlight},
 		{Key: "instance", Limit: int(classShare[e.Class] * float64(in.cfg.MaxInFlight))},
--- a/pkg/entry/call.go
+++ b/pkg/entry/call.go
@@ -28,9 +28,9 @@
 	Body       json.RawMessage `json:"body"`
 }
 
-// CallAnswer is the answer to a call. Replayed is set when the call had run
+// CallResponse is the answer to a call. Replayed is set when the call had run
 // before and this is its recorded answer.
-type CallAnswer struct {
+type CallResponse struct {
 	Body     json.RawMessage `json:"body"`
 	Replayed bool            `json:"replayed,omitempty"`
 }
@@ -76,34 +76,34 @@
 	})
 }
 
-func (in *Instance) call(ctx context.Context, v *View, e catalogue.Entry, req CallRequest) (CallAnswer, error) {
+func (in *Instance) call(ctx context.Context, v *View, e catalogue.Entry, req CallRequest) (CallResponse, error) {
 	c := &serviceCall{in: in, view: v, entry: e, req: req}
 	if req.Idempotent {
 		return c.repeatable(ctx)
 	}
 	cl := claim.New(in.claims(), in.attempt(), req.Customer+"/"+req.Entry+"/"+req.Key, req.digest())
-	row, replay, err := cl.Take(ctx)
+	row, replay, err := cl.Acquire(ctx)
 	if err != nil {
-		return CallAnswer{}, err
+		return CallResponse{}, err
 	}
 	if replay != nil {
-		return CallAnswer{Body: replay, Replayed: true}, nil
+		return CallResponse{Body: replay, Replayed: true}, nil
 	}
-	if row, err = cl.Move(ctx, row, claim.Sending, nil); err != nil {
-		return CallAnswer{}, err
+	if row, err = cl.SetState(ctx, row, claim.Sending, nil); err != nil {
+		return CallResponse{}, err
 	}
 	ans, err := c.once(ctx)
 	if verdict.Of(err) == verdict.NotRun {
 		// It reached no service: let the key be claimed again.
-		if _, merr := cl.Move(ctx, row, claim.Claimed, nil); merr != nil {
+		if _, merr := cl.SetState(ctx, row, claim.Claimed, nil); merr != nil {
 			in.cfg.Logger.Debug("claim of a call not sent left standing", "key", cl.Key(), "err", merr)
 		}
-		return CallAnswer{}, err
+		return CallResponse{}, err
 	}
 	if err != nil {
-		return CallAnswer{}, err // the claim stays at sending: the call may have run
+		return CallResponse{}, err // the claim stays at sending: the call may have run
 	}
-	if _, err := cl.Move(ctx, row, claim.Done, ans.Body); err != nil {
+	if _, err := cl.SetState(ctx, row, claim.Done, ans.Body); err != nil {
 		in.cfg.Logger.Warn("call ran but its answer was not recorded", "key", cl.Key(), "err", err)
 	}
 	return ans, nil
@@ -111,5 +111,5 @@
 
 // claims returns what claims of calls need.
 func (in *Instance) claims() claim.Config {
-	return claim.Config{Get: in.cfg.Platform.Get, Commit: in.cfg.Platform.Commit, Clock: in.cfg.Clock, Timeout: in.cfg.PlatformTimeout, ComeBackAt: in.comeBackAt}
+	return claim.Config{Get: in.cfg.Platform.Get, Commit: in.cfg.Platform.Commit, Clock: in.cfg.Clock, Timeout: in.cfg.PlatformTimeout, RetryAt: in.comeBackAt}
 }
--- a/pkg/entry/choose.go
+++ b/pkg/entry/choose.go
@@ -25,7 +25,7 @@
 	}
 	for _, set := range [][]catalogue.Upstream{good, rest} {
 		if u, ok := in.chooseFrom(v, set, affinity); ok {
-			in.health.Trying(u.Address, now)
+			in.health.RecordAttempt(u.Address, now)
 			return u.Address, true
 		}
 	}
@@ -77,7 +77,7 @@
 // loadOf is the believed load of an upstream: this instance's own requests in
 // flight to it, which are exact, and those of others when it last told.
 func (in *Instance) loadOf(v *View, addr string) float64 {
-	return float64(in.load.Get(addr) + v.Loads.Others(addr))
+	return float64(in.load.Get(addr) + v.Loads.OtherRequests(addr))
 }
 
 // distanceLoad is the load that sending to another data centre counts for: it
--- a/pkg/entry/client.go
+++ b/pkg/entry/client.go
@@ -51,9 +51,9 @@
 	return k.next.RoundTrip(r)
 }
 
-// Answer is what a generation came to. It is whole if Last has Done set;
+// GenerateResponse is what a generation came to. It is whole if Last has Done set;
 // else Last tells the error and whether the generation may have run.
-type Answer struct {
+type GenerateResponse struct {
 	Status int // of the HTTP answer
 	Text   string
 	Last   Event
@@ -62,13 +62,13 @@
 // Generate sends req and reads its answer to the end. An error is of the
 // connection or of an answer that can't be read, with what came before it;
 // refusals are in the Answer.
-func (c *Client) Generate(ctx context.Context, req GenerateRequest) (Answer, error) {
+func (c *Client) Generate(ctx context.Context, req GenerateRequest) (GenerateResponse, error) {
 	resp, err := c.server.Send(ctx, http.MethodPost, "/v1/generate", req)
 	if err != nil {
-		return Answer{}, clientError(err, time.Now())
+		return GenerateResponse{}, clientError(err, time.Now())
 	}
 	defer resp.Body.Close()
-	a := Answer{Status: resp.StatusCode}
+	a := GenerateResponse{Status: resp.StatusCode}
 	var text strings.Builder
 	sc := bufio.NewScanner(resp.Body)
 	sc.Buffer(nil, httpjson.MaxBody)
@@ -85,23 +85,23 @@
 
 // Route returns the instance that a customer's requests with this key should
 // go to, and until when to keep that answer.
-func (c *Client) Route(ctx context.Context, customer, key string) (RouteAnswer, error) {
-	var ra RouteAnswer
+func (c *Client) Route(ctx context.Context, customer, key string) (RouteResponse, error) {
+	var ra RouteResponse
 	q := url.Values{"customer": {customer}, "key": {key}}
 	err := c.do(ctx, http.MethodGet, "/v1/route?"+q.Encode(), nil, &ra)
 	return ra, err
 }
 
 // Call sends a plain service call.
-func (c *Client) Call(ctx context.Context, req CallRequest) (CallAnswer, error) {
-	var ans CallAnswer
+func (c *Client) Call(ctx context.Context, req CallRequest) (CallResponse, error) {
+	var ans CallResponse
 	err := c.do(ctx, http.MethodPost, "/v1/call", req, &ans)
 	return ans, err
 }
 
-// NameWeights names a new weight version for the pool of a training entry.
+// SetTargetVersion names a new weight version for the pool of a training entry.
 // It may be repeated after any error.
-func (c *Client) NameWeights(ctx context.Context, req WeightsRequest) error {
+func (c *Client) SetTargetVersion(ctx context.Context, req WeightsRequest) error {
 	return c.do(ctx, http.MethodPost, "/v1/weights", req, nil)
 }
 
--- a/pkg/entry/config.go
+++ b/pkg/entry/config.go
@@ -42,14 +42,14 @@
 	Logger   *log.Logger      // default log.Default()
 	Metrics  metrics.Registry // default a new registry
 
-	Tick            time.Duration // control loop period; default 100ms
-	Refresh         time.Duration // catalogue and membership reads; default 1s
-	LeaseTTL        time.Duration // membership lease; default 5s
-	ReportInterval  time.Duration // period of load report rounds; default 1s
-	ReportBudget    int           // load reports read per round; default 6
-	FullScan        time.Duration // whole catalogue read even if unchanged; default 30m
-	PlatformTimeout time.Duration // per platform call; default 2s
-	UpstreamTimeout time.Duration // per upstream request without a caller deadline; default 60s
+	Tick             time.Duration // control loop period; default 100ms
+	Refresh          time.Duration // catalogue and membership reads; default 1s
+	LeaseTTL         time.Duration // membership lease; default 5s
+	ReportInterval   time.Duration // period of load report rounds; default 1s
+	ReportBudget     int           // load reports read per round; default 6
+	FullReadInterval time.Duration // whole catalogue read even if unchanged; default 30m
+	PlatformTimeout  time.Duration // per platform call; default 2s
+	UpstreamTimeout  time.Duration // per upstream request without a caller deadline; default 60s
 	// IdleTimeout is how long an engine stream may send nothing before the
 	// connection is taken for dead and the generation moves on; default 5s.
 	IdleTimeout time.Duration
@@ -61,11 +61,11 @@
 	SweepGrace    time.Duration
 	// RolloutLeaseTTL is the time of the lease under which one instance
 	// orders a pool's engines to load weights; default 3s.
-	RolloutLeaseTTL time.Duration
-	OrderTimeout    time.Duration // per load order; default 15s
-	ReportLag       time.Duration // how far load reports may lag; default 500ms
-	RolloutProbe    time.Duration // report reads of engines being rolled; default 250ms
-	RolloutCheck    time.Duration // report reads of a whole pool; default 10s
+	RolloutLeaseTTL     time.Duration
+	OrderTimeout        time.Duration // per load order; default 15s
+	ReportLag           time.Duration // how far load reports may lag; default 500ms
+	RolloutPollInterval time.Duration // report reads of engines being rolled; default 250ms
+	PoolPollInterval    time.Duration // report reads of a whole pool; default 10s
 	// StepPolicy says how stragglers of training steps are treated; its
 	// MaxRunning is taken from the catalogue entry's limit.
 	StepPolicy    step.Policy
@@ -105,7 +105,7 @@
 		c.Metrics = metrics.NewRegistry()
 	}
 	if c.Platform != nil {
-		c.Platform = c.Platform.Within(c.PlatformTimeout) // a slow platform gives callers a prompt refusal
+		c.Platform = c.Platform.WithTimeout(c.PlatformTimeout) // a slow platform gives callers a prompt refusal
 	}
 }
 
@@ -118,7 +118,7 @@
 	orDefault(&c.UpstreamTimeout, 60*time.Second)
 	orDefault(&c.DrainNotice, time.Second)
 	orDefault(&c.RouteTTL, 30*time.Second)
-	orDefault(&c.FullScan, 30*time.Minute)
+	orDefault(&c.FullReadInterval, 30*time.Minute)
 	orDefault(&c.PurgeInterval, 5*time.Minute)
 	orDefault(&c.MemberRetention, 10*time.Minute)
 	orDefault(&c.IdleTimeout, 5*time.Second)
@@ -127,8 +127,8 @@
 	orDefault(&c.RolloutLeaseTTL, 3*time.Second)
 	orDefault(&c.OrderTimeout, 15*time.Second)
 	orDefault(&c.ReportLag, 500*time.Millisecond)
-	orDefault(&c.RolloutProbe, 250*time.Millisecond)
-	orDefault(&c.RolloutCheck, 10*time.Second)
+	orDefault(&c.RolloutPollInterval, 250*time.Millisecond)
+	orDefault(&c.PoolPollInterval, 10*time.Second)
 	orDefault(&c.ShardLeaseTTL, 3*time.Second)
 	orDefault(&c.StepTick, 25*time.Millisecond)
 	orDefault(&c.StepRefresh, 2*time.Second)
--- a/pkg/entry/door_test.go
+++ b/pkg/entry/door_test.go
@@ -16,7 +16,7 @@
 // A key that was used for another request gives nobody that request's answer.
 func TestKeyOfAnotherRequest(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{})
-	call := func(method, body string) (entry.CallAnswer, error) {
+	call := func(method, body string) (entry.CallResponse, error) {
 		return entry.NewClient(s.Entries[0].Addr(), nil).Call(context.Background(), entry.CallRequest{Customer: "minho", Entry: "plans",
 			Method: method, Key: "k1", Body: json.RawMessage(body)})
 	}
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -67,17 +67,17 @@
 	reportHTTP *http.Client // for load reports: its connections are kept briefly, as engines are many
 	policy     route.Policy
 	load       admission.InFlight
-	paces      *health.Paces
+	paces      *health.TokenTimes
 	health     *health.Tracker
 	retries    *retry.Budget
-	peers      *peer.Links
+	peers      *peer.Hints
 	// life tells this process from earlier ones with the same ID, and
 	// attempts numbers its claims on non-idempotent calls.
 	life     string
 	attempts atomic.Uint64
 	samples  *delivery.Sender
 	// quarantine is what is known of requests that crash upstreams.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Syncer
 	stats      *counters
 	keepers    sync.Map // pool → its *lease.Keeper
 }
@@ -90,19 +90,19 @@
 	}
 	in := &Instance{
 		cfg:  cfg,
-		self: Member{ID: cfg.ID, Address: cfg.Advertise, Peer: cfg.PeerAdvertise, DataCentre: cfg.DataCentre},
-		timing: control.Timing{Refresh: cfg.Refresh, FullScan: cfg.FullScan, LeaseTTL: cfg.LeaseTTL, ShardTTL: cfg.ShardLeaseTTL,
+		self: Member{ID: cfg.ID, Address: cfg.Advertise, PeerAddress: cfg.PeerAdvertise, DataCentre: cfg.DataCentre},
+		timing: control.Timing{Refresh: cfg.Refresh, FullScan: cfg.FullReadInterval, LeaseTTL: cfg.LeaseTTL, ShardTTL: cfg.ShardLeaseTTL,
 			Reports: cfg.ReportInterval, ReportBudget: cfg.ReportBudget, Sweep: cfg.SweepInterval, SweepGrace: cfg.SweepGrace, Purge: cfg.PurgeInterval,
 			Steps: cfg.StepRefresh,
 			Rollout: weights.Config{SendMargin: cfg.RolloutLeaseTTL / 10, OrderTimeout: cfg.OrderTimeout,
-				RetryDelay: cfg.RolloutProbe, ReportLag: cfg.ReportLag},
-			RolloutRenew: cfg.RolloutLeaseTTL / control.RenewalsPerTTL, RolloutProbe: cfg.RolloutProbe, RolloutCheck: cfg.RolloutCheck},
+				RetryDelay: cfg.RolloutPollInterval, ReportLag: cfg.ReportLag},
+			RolloutRenew: cfg.RolloutLeaseTTL / control.RenewalsPerTTL, RolloutProbe: cfg.RolloutPollInterval, RolloutCheck: cfg.PoolPollInterval},
 		events:     make(chan control.Event, 64),
 		http:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}},
 		reportHTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: reportIdleTimeout}},
 		policy:     route.Policy{Slack: affinitySlack},
 		health:     health.NewTracker(cfg.Health),
-		paces:      health.NewPaces(cfg.SlowFrom),
+		paces:      health.NewTokenTimes(cfg.SlowFrom),
 		retries:    retry.NewBudget(retryRatio, retryBurst),
 		stats:      newCounters(cfg.Metrics),
 		life:       newLife(),
@@ -113,7 +113,7 @@
 	in.peers = newLinks(in)
 	in.quarantine = newQuarantine(in)
 	in.samples = delivery.NewSender(delivery.Config{Platform: cfg.Platform, Clock: cfg.Clock, Logger: cfg.Logger, HTTP: in.http,
-		View: in.View, Attempt: in.attempt, Leave: in.sendsCtx, Counters: in.stats.delivery,
+		View: in.View, NewAttemptID: in.attempt, SendContext: in.sendsCtx, Counters: in.stats.delivery,
 		Go: func(f func() error) { in.sends.Go(f) }})
 	return in, nil
 }
@@ -159,7 +159,7 @@
 // drain tells callers for a while to move, stops new work, and waits for
 // requests in flight.
 func (in *Instance) drain(srv *http.Server) {
-	in.events <- control.DrainBegun{}
+	in.events <- control.DrainStarted{}
 	in.cfg.Logger.Info("shutdown begun; finishing requests in flight", "in_flight", in.load.Total(entryPlace))
 	in.stopSteps()
 	time.Sleep(in.cfg.DrainNotice)
--- a/pkg/entry/failure_test.go
+++ b/pkg/entry/failure_test.go
@@ -69,7 +69,7 @@
 func TestSampleOfDeadInstanceIsSwept(t *testing.T) {
 	s := startSite(t, 1, 2, enginetest.Config{})
 	smp := trainer.Sample{ID: "minho.drafts.orphan", Customer: "minho", Entry: "drafts", WeightVersions: []uint64{2}, Tokens: 3}
-	op, _ := platform.Put("delivery/"+smp.ID, 0, entry.Delivery{Samples: []trainer.Sample{smp}, Trainer: s.TrainerAddr, Holder: "entry-dead",
+	op, _ := platform.Put("delivery/"+smp.ID, 0, entry.DeliveryRecord{Samples: []trainer.Sample{smp}, Trainer: s.TrainerAddr, Holder: "entry-dead",
 		CreatedAt: time.Now().Add(-time.Minute)})
 	if _, err := platform.NewClient(s.PlatformURL, nil).Commit(context.Background(), op); err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 	for i := range 20 {
 		for name, addr := range map[string]string{"a-away": away.Addr(), "b-here": s.TrainerAddr} {
 			id := fmt.Sprintf("%s-%d", name, i)
-			s.Platform.Put("delivery/"+id, entry.Delivery{Samples: []trainer.Sample{{ID: id, WeightVersions: []uint64{1}}}, Trainer: addr,
+			s.Platform.Put("delivery/"+id, entry.DeliveryRecord{Samples: []trainer.Sample{{ID: id, WeightVersions: []uint64{1}}}, Trainer: addr,
 				CreatedAt: time.Now().Add(-time.Minute)})
 		}
 	}
--- a/pkg/entry/generate.go
+++ b/pkg/entry/generate.go
@@ -86,7 +86,7 @@
 		return nil
 	}
 	if e.Class == catalogue.Training {
-		res.SampleID = in.samples.Sample(ctx, e, g.sample(res))
+		res.SampleID = in.samples.RecordAndSend(ctx, e, g.sample(res))
 	}
 	_ = g.emit(res)
 	return nil
--- a/pkg/entry/generation.go
+++ b/pkg/entry/generation.go
@@ -71,7 +71,7 @@
 		}
 		done, err := g.stream(ctx, addr)
 		if done {
-			g.in.health.Succeeded(addr)
+			g.in.health.RecordSuccess(addr)
 			return Event{Done: true, WeightVersions: g.labels, Tokens: g.tokens}, nil
 		}
 		last = err
@@ -98,7 +98,7 @@
 	if errors.Is(err, errIdle) || errors.Is(err, context.DeadlineExceeded) {
 		in.http.CloseIdleConnections()
 	}
-	if in.health.Failed(addr, in.cfg.Clock.Now(), httpjson.NotSent(err)) {
+	if in.health.RecordFailure(addr, in.cfg.Clock.Now(), httpjson.NotSent(err)) {
 		in.stats.ejected.Inc(1)
 		in.cfg.Logger.Info("upstream ejected", "address", addr, "err", err)
 	}
@@ -139,13 +139,13 @@
 func (g *generation) pickUntried() (string, error) {
 	view := g.in.View()
 	var ups []catalogue.Upstream
-	for _, u := range view.Live(g.entry.Pool, catalogue.Engines) {
+	for _, u := range view.LiveUpstreams(g.entry.Pool, catalogue.Engines) {
 		if slices.Contains(g.tried, u.Address) || g.entry.Class == catalogue.Training && g.tooStale(view, u.Address) {
 			continue
 		}
 		ups = append(ups, u)
 	}
-	loading := func(u catalogue.Upstream) bool { return view.ReportOf(u.Address).Loading }
+	loading := func(u catalogue.Upstream) bool { return view.ReportOrZero(u.Address).Loading }
 	if addr, ok := g.in.choose(view, ups, loading, affinity(g.req.Prompt)); ok {
 		return addr, nil
 	}
@@ -156,7 +156,7 @@
 // version older than the entry allows.
 func (g *generation) tooStale(v *View, addr string) bool {
 	rep, ok := v.Report(addr)
-	return ok && v.OutOfBound(g.entry, rep.WeightVersion)
+	return ok && v.VersionTooOld(g.entry, rep.WeightVersion)
 }
 
 // affinityLen is how much of a prompt decides which engine's prefix cache
@@ -186,7 +186,7 @@
 	done, err := g.ask(ctx, addr)
 	o := outcomeOf(ctx, err)
 	if errors.Is(err, errIdle) || errors.Is(err, errTooStale) {
-		o = quarantine.Left
+		o = quarantine.Abandoned
 	}
 	guarded.Done(ctx, o)
 	return done, err
@@ -210,7 +210,7 @@
 	}
 	defer s.Close()
 	if s.HasLoad {
-		g.in.View().Loads.Told(addr, s.Load, g.in.load.Get(addr))
+		g.in.View().Loads.PutLoad(addr, s.Load, g.in.load.Get(addr))
 	}
 	watch := paceWatch{clock: g.in.cfg.Clock}
 	defer watch.tell(g.in.paces, addr)
@@ -277,7 +277,7 @@
 	if n := len(g.labels); n == 0 || g.labels[n-1] != c.WeightVersion {
 		g.labels = append(g.labels, c.WeightVersion)
 	}
-	if g.entry.Class == catalogue.Training && g.in.View().OutOfBound(g.entry, slices.Min(g.labels)) {
+	if g.entry.Class == catalogue.Training && g.in.View().VersionTooOld(g.entry, slices.Min(g.labels)) {
 		return errTooStale
 	}
 	g.text.WriteString(c.Text)
--- a/pkg/entry/health_test.go
+++ b/pkg/entry/health_test.go
@@ -52,7 +52,7 @@
 			s := startSite(t, 3, 2, enginetest.Config{WeightVersion: 1})
 			tell(s)
 			waitFor(t, 5*time.Second, "both instances to see it leaving", func() bool {
-				return s.Entries[0].View().LeavingUpstream(s.EngineAddrs[0]) && s.Entries[1].View().LeavingUpstream(s.EngineAddrs[0])
+				return s.Entries[0].View().UpstreamLeaving(s.EngineAddrs[0]) && s.Entries[1].View().UpstreamLeaving(s.EngineAddrs[0])
 			})
 			before := s.Engines[0].Requests()
 			for i := 0; i < 30; i++ {
@@ -120,7 +120,7 @@
 		return !slices.ContainsFunc(s.Entries, func(in *entry.Instance) bool { return len(in.View().Members) != 3 })
 	})
 	p := s.EnginePool("assistant-pool")
-	p.Upstreams[0].MaxInFlight, p.Upstreams[0].OlderSystem = 4, true // 3 instances: 1, 1 and 2
+	p.Upstreams[0].MaxInFlight, p.Upstreams[0].LegacyManaged = 4, true // 3 instances: 1, 1 and 2
 	out, err := catalogue.Sync(context.Background(), platform.NewClient(s.PlatformURL, nil), catalogue.File{Pools: []catalogue.Pool{p}}, "test", time.Now())
 	if err != nil {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 	if err := g.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	if n := s.Engines[0].Peak(); n < 2 || n > 4 {
+	if n := s.Engines[0].PeakRequests(); n < 2 || n > 4 {
 		t.Fatalf("shared engine held %d requests at once, want 2 to its share of 4", n)
 	}
 	nameVersion(t, s, 0, 2)
@@ -157,7 +157,7 @@
 func TestSharedEngineIsNotUsedByAnUncountedInstance(t *testing.T) {
 	s := startSite(t, 2, 1, enginetest.Config{WeightVersion: 1, Slots: 64})
 	p := s.EnginePool("assistant-pool")
-	p.Upstreams[0].MaxInFlight, p.Upstreams[0].OlderSystem = 4, true
+	p.Upstreams[0].MaxInFlight, p.Upstreams[0].LegacyManaged = 4, true
 	if err := s.Apply(catalogue.File{Pools: []catalogue.Pool{p}}); err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +186,7 @@
 func TestBusyEngineIsNotSilent(t *testing.T) {
 	s, err := site.Start(site.Config{Engines: 1, Entries: 1, Entry: entry.Config{IdleTimeout: 400 * time.Millisecond},
 		Engine: enginetest.Config{WeightVersion: 1, Slots: 1, TokenInterval: 20 * time.Millisecond,
-			WeightStore: &enginetest.WeightStore{FetchTime: 2 * time.Second, Free: 1}}})
+			WeightStore: &enginetest.WeightStore{FetchTime: 2 * time.Second, FullRateFetches: 1}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/entry/hints.go
+++ b/pkg/entry/hints.go
@@ -10,13 +10,13 @@
 )
 
 // newLinks returns the links over which in tells its peers what it learned.
-func newLinks(in *Instance) *peer.Links {
-	return peer.New(peer.Config{
+func newLinks(in *Instance) *peer.Hints {
+	return peer.NewHints(peer.HintsConfig{
 		Listener: in.cfg.PeerListener, Listen: in.cfg.PeerListen, KeepAlive: in.cfg.PeerKeepAlive,
 		Go:      func(f func() error) { in.group.Go(f) },
 		Targets: in.hintTargets,
 		Receive: func(ctx context.Context, h *peerpb.Hint) {
-			in.post(ctx, control.Hinted{Revision: h.CatalogueRevision, Draining: h.Draining, Steps: h.Steps})
+			in.post(ctx, control.PeerNotified{Revision: h.CatalogueRevision, Draining: h.Draining, Steps: h.Steps})
 		},
 	})
 }
@@ -27,14 +27,14 @@
 	self := slices.IndexFunc(members, func(m Member) bool { return m.ID == in.cfg.ID })
 	var out []string
 	for _, m := range peer.Fingers(members, self) {
-		if m.ID != in.cfg.ID && m.Peer != "" {
-			out = append(out, m.Peer)
+		if m.ID != in.cfg.ID && m.PeerAddress != "" {
+			out = append(out, m.PeerAddress)
 		}
 	}
 	return out
 }
 
 // hint returns the message of an effect that tells peers something.
-func (in *Instance) hint(e control.HintPeers) *peerpb.Hint {
+func (in *Instance) hint(e control.NotifyPeers) *peerpb.Hint {
 	return &peerpb.Hint{From: in.cfg.ID, CatalogueRevision: e.Revision, Draining: e.Draining, Steps: e.Steps}
 }
--- a/pkg/entry/keys_test.go
+++ b/pkg/entry/keys_test.go
@@ -39,10 +39,10 @@
 			return err
 		},
 		"weights": func(c *entry.Client) error {
-			return c.NameWeights(ctx, entry.WeightsRequest{Customer: "minho", Entry: "drafts", Version: 2})
+			return c.SetTargetVersion(ctx, entry.WeightsRequest{Customer: "minho", Entry: "drafts", Version: 2})
 		},
 		"submit a step": func(c *entry.Client) error {
-			return c.SubmitStep(ctx, step.Spec{Customer: "minho", Entry: "drafts", ID: "s1", Desired: 1, DueAt: due,
+			return c.SubmitStep(ctx, step.Spec{Customer: "minho", Entry: "drafts", ID: "s1", Desired: 1, Deadline: due,
 				Groups: []step.Group{{ID: "g", Prompt: "p", Size: 1, MaxTokens: 2}}})
 		},
 		"read a step": func(c *entry.Client) error {
--- a/pkg/entry/loop.go
+++ b/pkg/entry/loop.go
@@ -47,7 +47,7 @@
 // soon reports whether ev asks for a tick at once rather than at its time.
 func soon(ev control.Event) bool {
 	switch ev.(type) {
-	case control.Hinted, control.StepAccepted:
+	case control.PeerNotified, control.StepAccepted:
 		return true
 	}
 	return false
@@ -68,13 +68,13 @@
 	for _, eff := range effs {
 		switch e := eff.(type) {
 		case control.StoreReport:
-			in.View().Loads.Put(e.Address, e.Report, in.load.Get(e.Address))
-		case control.Publish:
+			in.View().Loads.PutReport(e.Address, e.Report, in.load.Get(e.Address))
+		case control.PublishView:
 			in.view.Store(e.View)
 		case control.LogChange:
 			in.cfg.Logger.Info(e.Message, e.Fields...)
-		case control.HintPeers:
-			in.peers.Hint(in.hint(e))
+		case control.NotifyPeers:
+			in.peers.Broadcast(in.hint(e))
 		case control.RunShard:
 			in.shard(ctx, e)
 		default:
@@ -124,11 +124,11 @@
 		}
 		return control.HeartbeatDone{Lease: l, Err: err}
 	case control.ReadReport:
-		rep, err := engine.NewClient(e.Address, in.reportHTTP).Report(ctx)
+		rep, err := engine.NewClient(e.Address, in.reportHTTP).LoadReport(ctx)
 		return control.ReportRead{Address: e.Address, Report: rep, At: in.cfg.Clock.Now(), Err: err}
 	case control.TakeRolloutLease:
-		held, err := in.keeper(e.Pool).Take(ctx, nil)
-		return control.RolloutLease{Pool: e.Pool, Held: held, Err: err}
+		held, err := in.keeper(e.Pool).Acquire(ctx, nil)
+		return control.RolloutLeaseDone{Pool: e.Pool, Held: held, Err: err}
 	case control.ReleaseRolloutLease:
 		if err := in.keeper(e.Pool).Release(ctx); err != nil {
 			in.cfg.Logger.Debug("rollout lease left to lapse", "pool", e.Pool, "err", err)
@@ -161,7 +161,7 @@
 	if !e.Full && version == e.Known {
 		return control.CatalogueRead{Revision: version, Number: rev.Number, Unchanged: true}
 	}
-	keys, known := rev.Since(e.Number)
+	keys, known := rev.ChangedSince(e.Number)
 	var rows []platform.Row
 	if e.Full || !known {
 		rows, err = in.cfg.Platform.Scan(ctx, "catalogue/")
--- a/pkg/entry/outage_test.go
+++ b/pkg/entry/outage_test.go
@@ -29,7 +29,7 @@
 	waitFor(t, 5*time.Second, "reports of both versions", func() bool {
 		v := s.Entries[0].View()
 		rep, _ := v.Report(s.EngineAddrs[0])
-		return v.Newest["assistant-pool"] == 5 && rep.WeightVersion == 1
+		return v.NewestVersions["assistant-pool"] == 5 && rep.WeightVersion == 1
 	})
 	for i := 0; i < 12; i++ {
 		req := entry.GenerateRequest{Customer: "minho", Entry: "drafts", RequestID: fmt.Sprint("stale-", i),
@@ -84,16 +84,16 @@
 func TestOldReadsRevertNothing(t *testing.T) {
 	s := startSite(t, 1, 0, enginetest.Config{WeightVersion: 1})
 	// Whole scans all the time, so that the old rows themselves are read.
-	if err := s.StartEntryWith("scans", func(c *entry.Config) { c.FullScan = c.Refresh }); err != nil {
+	if err := s.StartEntryWith("scans", func(c *entry.Config) { c.FullReadInterval = c.Refresh }); err != nil {
 		t.Fatal(err)
 	}
 	in := s.Entries[0]
 	waitFor(t, 5*time.Second, "the catalogue applied", func() bool { return len(in.View().Pools) == 2 })
-	s.Platform.Remember()
+	s.Platform.SnapshotRows()
 	nameVersion(t, s, 0, 2)
 	setUpstreams(t, s, "assistant-pool", s.EngineAddrs[0], "127.0.0.1:9")
 	waitFor(t, 5*time.Second, "the change and the version applied", func() bool { return in.View().Targets["assistant-pool"].Version == 2 })
-	s.Platform.SetFaults(platformtest.Faults{OldReads: true})
+	s.Platform.SetFaults(platformtest.Faults{StaleReads: true})
 	before := s.Platform.Stats().Reads
 	waitFor(t, 5*time.Second, "twenty reads of the old copy", func() bool { return s.Platform.Stats().Reads > before+20 })
 	if v := in.View(); len(v.Pools["assistant-pool"].Upstreams) != 2 || v.Targets["assistant-pool"].Version != 2 {
--- a/pkg/entry/pace.go
+++ b/pkg/entry/pace.go
@@ -35,7 +35,7 @@
 // tell records the pace of the stream from the engine at addr, also of one
 // that was given up. The longest gap is left out: the engine may have been
 // loading weights.
-func (w *paceWatch) tell(paces *health.Paces, addr string) {
+func (w *paceWatch) tell(paces *health.TokenTimes, addr string) {
 	if w.gaps < minPaceGaps {
 		return
 	}
--- a/pkg/entry/peers_test.go
+++ b/pkg/entry/peers_test.go
@@ -50,7 +50,7 @@
 	var first time.Time
 	waitFor(t, 2*refresh, "a first instance applies", func() bool {
 		for _, in := range s.Entries {
-			if in.View().Versions[out[0].Key] >= out[0].Version {
+			if in.View().RowVersions[out[0].Key] >= out[0].Version {
 				first = time.Now()
 				return true
 			}
--- a/pkg/entry/prefix_bench_test.go
+++ b/pkg/entry/prefix_bench_test.go
@@ -47,7 +47,7 @@
 	for _, e := range s.Engines {
 		eh, em := e.CacheCounts()
 		hits, misses = hits+eh, misses+em
-		peak = max(peak, e.Peak())
+		peak = max(peak, e.PeakRequests())
 	}
 	ratio := float64(hits) / float64(hits+misses)
 	b.ReportMetric(ratio, "hit-ratio")
--- a/pkg/entry/quarantine.go
+++ b/pkg/entry/quarantine.go
@@ -24,22 +24,22 @@
 const quarantinePrefix = memberPrefix + "quarantine/"
 
 // newQuarantine returns what keeps requests that crash upstreams from them.
-func newQuarantine(in *Instance) *quarantine.Keeper {
-	return quarantine.NewKeeper(quarantine.KeeperConfig{
+func newQuarantine(in *Instance) *quarantine.Syncer {
+	return quarantine.NewSyncer(quarantine.SyncerConfig{
 		Guard: quarantine.Config{
-			Gone:    takesNoConnection,
-			Leaving: in.isLeaving,
-			Start:   func(f func() error) { in.sends.Go(f) },
-			Observe: in.quarantined,
+			NotListening: takesNoConnection,
+			IsLeaving:    in.isLeaving,
+			Go:           func(f func() error) { in.sends.Go(f) },
+			OnEvent:      in.quarantined,
 		},
 		Commit: in.cfg.Platform.Commit,
 		Prefix: quarantinePrefix,
-		By:     in.cfg.ID + "/" + in.life,
-		Sweeps: func() bool {
+		Writer: in.cfg.ID + "/" + in.life,
+		IsSweeper: func() bool {
 			members := in.View().Members
 			return len(members) > 0 && members[0].ID == in.cfg.ID
 		},
-		Failed: func(rows int, err error) {
+		OnWriteError: func(rows int, err error) {
 			in.cfg.Logger.Debug("quarantine rows not written", "rows", rows, "err", err)
 		},
 	})
@@ -57,7 +57,7 @@
 // isLeaving reports whether an upstream leaves by its own account.
 func (in *Instance) isLeaving(e upstream.Entry) bool {
 	for _, kind := range []catalogue.Kind{catalogue.Engines, catalogue.Services} {
-		for _, u := range in.View().Live(e.Pool, kind) {
+		for _, u := range in.View().LiveUpstreams(e.Pool, kind) {
 			if u.Address == e.Address {
 				return false
 			}
@@ -68,7 +68,7 @@
 
 func (in *Instance) quarantined(e quarantine.Event) {
 	metrics.GetOrRegisterCounter("quarantine_"+strings.ReplaceAll(e.What, " ", "_"), in.cfg.Metrics).Inc(1)
-	in.cfg.Logger.Warn(e.What, "content", e.Content, "upstream", e.Upstream, "ends", e.Ends, "unexplained", e.Unexplained, "trials", e.Trials, "err", e.Err)
+	in.cfg.Logger.Warn(e.What, "content", e.Content, "upstream", e.Upstream, "ends", e.Crashes, "unexplained", e.Unexplained, "trials", e.Trials, "err", e.Err)
 }
 
 // splitMembers has the guard take the rows that are its own among those read, and
@@ -78,9 +78,9 @@
 	for i, r := range rows {
 		changes[i] = platform.Change{Row: r}
 	}
-	u := quarantine.Split(changes, quarantinePrefix)
-	if len(u.Unreadable) > 0 {
-		in.cfg.Logger.Warn("quarantine rows not understood", "err", errors.Join(u.Unreadable...))
+	u := quarantine.SplitChanges(changes, quarantinePrefix)
+	if len(u.DecodeErrors) > 0 {
+		in.cfg.Logger.Warn("quarantine rows not understood", "err", errors.Join(u.DecodeErrors...))
 	}
 	in.quarantine.Guard.Apply(u.Rows, true, time.Now())
 	members := make([]platform.Row, len(u.Others))
@@ -118,7 +118,7 @@
 	case errors.As(err, &se):
 		return quarantine.Failed
 	case ctx.Err() != nil, errors.Is(err, errCaller):
-		return quarantine.Left
+		return quarantine.Abandoned
 	}
-	return quarantine.Broken
+	return quarantine.ConnectionLost
 }
--- a/pkg/entry/quarantine_test.go
+++ b/pkg/entry/quarantine_test.go
@@ -107,7 +107,7 @@
 		spec := stepSpec(fmt.Sprint("step-", i), 3, 2, 2)
 		spec.Groups[0] = step.Group{ID: spec.ID + "-poison", Prompt: "poison", Size: 2, MaxTokens: 8}
 		spec.Desired = 3
-		spec.DueAt = time.Now().Add(sharedWithin + time.Second).UTC()
+		spec.Deadline = time.Now().Add(sharedWithin + time.Second).UTC()
 		if status := submit(t, s, i, spec); status != http.StatusOK {
 			t.Fatalf("answered %d", status)
 		}
--- a/pkg/entry/rollout.go
+++ b/pkg/entry/rollout.go
@@ -18,13 +18,13 @@
 
 // keeper returns the Keeper of pool's rollout lease. The control goroutine
 // lets one use of it run at a time.
-func (in *Instance) keeper(pool string) *lease.Keeper {
+func (in *Instance) keeper(pool string) *lease.Manager {
 	k, ok := in.keepers.Load(pool)
 	if !ok {
-		k, _ = in.keepers.LoadOrStore(pool, &lease.Keeper{Table: in.cfg.Platform, Clock: in.cfg.Clock,
+		k, _ = in.keepers.LoadOrStore(pool, &lease.Manager{Table: in.cfg.Platform, Clock: in.cfg.Clock,
 			Name: rolloutLeasePrefix + pool, Holder: in.cfg.ID + "/" + in.life, TTL: in.cfg.RolloutLeaseTTL})
 	}
-	return k.(*lease.Keeper)
+	return k.(*lease.Manager)
 }
 
 // order sends one load order, unless the lease it was given under is over.
@@ -38,5 +38,5 @@
 	if err != nil {
 		in.stats.orderErrors.Inc(1)
 	}
-	return control.OrderEnded{Pool: e.Pool, Ordered: weights.Ordered{Address: o.Address, Version: o.Version, Err: err, At: in.cfg.Clock.Now()}}
+	return control.OrderEnded{Pool: e.Pool, Ordered: weights.OrderEnded{Address: o.Address, Version: o.Version, Err: err, At: in.cfg.Clock.Now()}}
 }
--- a/pkg/entry/rollout_test.go
+++ b/pkg/entry/rollout_test.go
@@ -24,7 +24,7 @@
 // and returns the answer's status.
 func nameVersion(t testing.TB, s *site.Site, i int, v uint64) int {
 	t.Helper()
-	return statusOf(t, entry.NewClient(s.Entries[i].Addr(), nil).NameWeights(context.Background(),
+	return statusOf(t, entry.NewClient(s.Entries[i].Addr(), nil).SetTargetVersion(context.Background(),
 		entry.WeightsRequest{Customer: "minho", Entry: "drafts", Version: v}))
 }
 
@@ -37,7 +37,7 @@
 // A named version reaches every engine, each ordered once, with never more
 // engines loading than the pool's budget; an older version is refused.
 func TestRolloutReachesEveryEngineWithinItsBudget(t *testing.T) {
-	store := &enginetest.WeightStore{FetchTime: 60 * time.Millisecond, Free: 2}
+	store := &enginetest.WeightStore{FetchTime: 60 * time.Millisecond, FullRateFetches: 2}
 	s := startSite(t, 6, 3, enginetest.Config{WeightVersion: 1, ChecksFencing: true, WeightStore: store})
 	var most atomic.Int64
 	ctx, cancel := context.WithCancel(context.Background())
@@ -128,7 +128,7 @@
 // The instance that runs a rollout goes away with it half done: another
 // instance finishes it.
 func TestRolloutOutlivesItsHolder(t *testing.T) {
-	store := &enginetest.WeightStore{FetchTime: 100 * time.Millisecond, Free: 1}
+	store := &enginetest.WeightStore{FetchTime: 100 * time.Millisecond, FullRateFetches: 1}
 	s := startSite(t, 6, 3, enginetest.Config{WeightVersion: 1, ChecksFencing: true, WeightStore: store})
 	nameVersion(t, s, 0, 2)
 	holder := -1
--- a/pkg/entry/route.go
+++ b/pkg/entry/route.go
@@ -10,9 +10,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// RouteAnswer tells a caller which entry instance to use and until when it
+// RouteResponse tells a caller which entry instance to use and until when it
 // may keep using it without asking again.
-type RouteAnswer struct {
+type RouteResponse struct {
 	Address    string    `json:"address"`
 	ID         string    `json:"id"`
 	DataCentre string    `json:"data_centre"`
@@ -43,7 +43,7 @@
 		in.fail(w, verdict.BadRequest("route: customer is required"))
 		return
 	}
-	if !in.View().Knows(customer) {
+	if !in.View().HasCustomer(customer) {
 		in.fail(w, verdict.New(verdict.NotRun, http.StatusNotFound, fmt.Errorf("route: no customer %q in the catalogue", customer)))
 		return
 	}
@@ -62,5 +62,5 @@
 	i := route.Rendezvous(members, func(m Member) string { return m.ID }, customer+"/"+key)
 	m := members[i]
 	expires := in.cfg.Clock.Now().Add(in.cfg.RouteTTL)
-	httpjson.Write(w, http.StatusOK, RouteAnswer{Address: m.Address, ID: m.ID, DataCentre: m.DataCentre, ExpiresAt: expires})
+	httpjson.Write(w, http.StatusOK, RouteResponse{Address: m.Address, ID: m.ID, DataCentre: m.DataCentre, ExpiresAt: expires})
 }
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -55,8 +55,8 @@
 // the path it names, at any instance, which one to use from now on.
 const MoveHeader = "Zinnia-Move"
 
-// ErrorAnswer is the body of an answer that is not a success.
-type ErrorAnswer struct {
+// ErrorResponse is the body of an answer that is not a success.
+type ErrorResponse struct {
 	Error   string          `json:"error"`
 	Verdict verdict.Verdict `json:"verdict"`
 }
@@ -82,7 +82,7 @@
 	if s, ok := ve.RetryAfter(in.cfg.Clock.Now()); ok {
 		w.Header().Set("Retry-After", s)
 	}
-	httpjson.Write(w, ve.Status, ErrorAnswer{Error: ve.Err.Error(), Verdict: ve.Verdict})
+	httpjson.Write(w, ve.Status, ErrorResponse{Error: ve.Err.Error(), Verdict: ve.Verdict})
 }
 
 func asVerdictError(err error) *verdict.Error {
@@ -120,7 +120,7 @@
 	return &counters{
 		requests: c("requests"), refused: c("refused"), failed: c("failed"),
 		upstreamErrors: c("upstream_errors"), resumed: c("streams_resumed"),
-		delivery: delivery.Counters{Sent: c("samples_delivered"), Stale: c("samples_refused_stale"), Lost: c("samples_lost"),
+		delivery: delivery.Counters{Delivered: c("samples_delivered"), Stale: c("samples_refused_stale"), Lost: c("samples_lost"),
 			Retries: c("delivery_retries"), Redelivered: c("samples_redelivered")},
 		refusedAdmission: c("refused_admission"), retriesRefused: c("retries_refused"), ejected: c("upstreams_ejected"), hedges: c("hedges"),
 		orders: c("load_orders"), orderErrors: c("load_order_errors"),
--- a/pkg/entry/servicecall.go
+++ b/pkg/entry/servicecall.go
@@ -36,7 +36,7 @@
 
 // once sends the call to one service after another until one of them may
 // have run it. Its error is NotRun only if none did.
-func (c *serviceCall) once(ctx context.Context) (CallAnswer, error) {
+func (c *serviceCall) once(ctx context.Context) (CallResponse, error) {
 	var last error
 	for range maxAttempts {
 		if err := c.check(); err != nil {
@@ -56,7 +56,7 @@
 		}
 		last = err
 	}
-	return CallAnswer{}, c.refuse(last)
+	return CallResponse{}, c.refuse(last)
 }
 
 // content is what identifies the call whatever its key.
@@ -79,7 +79,7 @@
 
 // outcome is how one copy of a call ended.
 type outcome struct {
-	ans CallAnswer
+	ans CallResponse
 	err error
 }
 
@@ -120,13 +120,13 @@
 
 // repeatable sends an idempotent call, again when it fails, and a second
 // copy when the first takes long; the first answer counts.
-func (c *serviceCall) repeatable(ctx context.Context) (CallAnswer, error) {
+func (c *serviceCall) repeatable(ctx context.Context) (CallResponse, error) {
 	c.in.retries.Earn()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	cs := &copies{call: c, ended: make(chan outcome, maxAttempts)}
 	if err := cs.send(ctx); err != nil {
-		return CallAnswer{}, err
+		return CallResponse{}, err
 	}
 	hedge := time.NewTimer(c.in.hedgeAfter())
 	defer hedge.Stop()
@@ -145,9 +145,9 @@
 		cs.more(ctx)
 	}
 	if verdict.Of(last) == verdict.NotRun {
-		return CallAnswer{}, c.refuse(last)
+		return CallResponse{}, c.refuse(last)
 	}
-	return CallAnswer{}, last
+	return CallResponse{}, last
 }
 
 // hedgeAfter is how long a call may take before a second copy is sent.
@@ -159,31 +159,31 @@
 }
 
 // send sends one copy of the call to the service at addr.
-func (c *serviceCall) send(ctx context.Context, addr string) (CallAnswer, error) {
+func (c *serviceCall) send(ctx context.Context, addr string) (CallResponse, error) {
 	defer c.in.load.Release(addr) // taken by pick
 	guarded, err := c.in.quarantine.Guard.Begin(ctx, c.content(), at(c.entry.Pool, addr))
 	if err != nil {
-		return CallAnswer{}, held(err)
+		return CallResponse{}, held(err)
 	}
 	start := time.Now()
 	body, err := service.NewClient(addr, c.in.http).Call(ctx, c.req.Method, c.req.Key, c.req.Idempotent, c.req.Body)
 	if err == nil || verdict.Of(err) == verdict.Ran {
-		c.in.health.Succeeded(addr)
+		c.in.health.RecordSuccess(addr)
 		c.in.stats.callTime.UpdateSince(start)
 	} else if !errors.Is(ctx.Err(), context.Canceled) {
 		c.in.upstreamFailed(addr, err)
 	}
 	guarded.Done(ctx, outcomeOf(ctx, err))
 	if err != nil {
-		return CallAnswer{}, fmt.Errorf("call: %w", err)
+		return CallResponse{}, fmt.Errorf("call: %w", err)
 	}
-	return CallAnswer{Body: body}, nil
+	return CallResponse{Body: body}, nil
 }
 
 // pick chooses a live service not yet tried, and takes a place at it.
 func (c *serviceCall) pick() (string, error) {
 	var ups []catalogue.Upstream
-	for _, u := range c.view.Live(c.entry.Pool, catalogue.Services) {
+	for _, u := range c.view.LiveUpstreams(c.entry.Pool, catalogue.Services) {
 		if !slices.Contains(c.tried, u.Address) {
 			ups = append(ups, u)
 		}
--- a/pkg/entry/silence.go
+++ b/pkg/entry/silence.go
@@ -91,14 +91,14 @@
 	ctx, cancel := context.WithTimeout(s.ctx, s.in.cfg.IdleTimeout)
 	defer cancel()
 	client := engine.NewClient(s.addr, s.in.reportHTTP)
-	rep, err := client.Report(ctx)
+	rep, err := client.LoadReport(ctx)
 	if err != nil || rep.Loading {
 		return rep.Loading, err
 	}
 	if s.hasBegun() || rep.Queued == 0 {
 		return false, nil
 	}
-	st, err := client.Request(ctx, s.id)
+	st, err := client.RequestStatus(ctx, s.id)
 	if errors.Is(err, engine.ErrNoStatus) {
 		return true, nil
 	}
--- a/pkg/entry/silent_test.go
+++ b/pkg/entry/silent_test.go
@@ -97,7 +97,7 @@
 	waitFor(t, 5*time.Second, "a busy engine", func() bool { return s.Engines[0].Requests() == 5 })
 	r.Silence()
 	ask("silent")
-	rep, err := engine.NewClient(s.EngineAddrs[0], nil).Report(t.Context())
+	rep, err := engine.NewClient(s.EngineAddrs[0], nil).LoadReport(t.Context())
 	if err != nil || rep.Queued == 0 {
 		t.Errorf("answered only once the engine was at rest: %+v, %v", rep, err)
 	}
--- a/pkg/entry/staleness_prop_test.go
+++ b/pkg/entry/staleness_prop_test.go
@@ -49,7 +49,7 @@
 // labelled with the versions its engines recorded, and came once.
 func TestSamplesAreFreshAndTrulyLabelled(t *testing.T) {
 	s := startSite(t, 4, 2, enginetest.Config{WeightVersion: 1, TokenInterval: time.Millisecond,
-		WeightStore: &enginetest.WeightStore{FetchTime: 15 * time.Millisecond, Free: 2}})
+		WeightStore: &enginetest.WeightStore{FetchTime: 15 * time.Millisecond, FullRateFetches: 2}})
 	o := &versionOracle{namedAt: map[uint64]time.Time{}}
 	if nameVersion(t, s, 0, 1) != http.StatusOK {
 		t.Fatal("version 1 not named")
@@ -63,7 +63,7 @@
 		rt.Repeat(map[string]func(*rapid.T){
 			"name": func(rt *rapid.T) {
 				next := o.newest + 1
-				s.Trainer.Named(next) // the trainer knows what it is about to name
+				s.Trainer.SetTargetVersion(next) // the trainer knows what it is about to name
 				for try := 0; nameVersion(t, s, rapid.IntRange(0, 1).Draw(rt, "instance"), next) != http.StatusOK; try++ {
 					if try == 3 { // the platform is down: it comes back
 						s.Platform.SetFaults(platformtest.Faults{})
--- a/pkg/entry/stepgenerate.go
+++ b/pkg/entry/stepgenerate.go
@@ -11,8 +11,8 @@
 // shardConfig returns the configuration of the shards of steps that run here.
 func (in *Instance) shardConfig() shard.Config {
 	return shard.Config{Platform: in.cfg.Platform, Clock: in.cfg.Clock, Logger: in.cfg.Logger, Holder: in.cfg.ID + "/" + in.life,
-		View: in.View, Samples: in.samples, Generate: in.generateSample, Policy: in.cfg.StepPolicy, Tick: in.cfg.StepTick,
-		DrainTime: drainSends, Stale: in.stats.delivery.Stale}
+		View: in.View, Samples: in.samples, Generate: in.generateSample, Policy: in.cfg.StepPolicy, TickInterval: in.cfg.StepTick,
+		DrainTimeout: drainSends, Stale: in.stats.delivery.Stale}
 }
 
 // generateSample makes one sample of a step. It is named by its group and place,
@@ -24,7 +24,7 @@
 	}
 	defer release()
 	g := a.Spec.Groups[a.Group]
-	gen := &generation{in: in, entry: a.Entry, emit: func(Event) error { return nil }, tried: a.Tried, using: a.Using,
+	gen := &generation{in: in, entry: a.Entry, emit: func(Event) error { return nil }, tried: a.UsedEngines, using: a.OnEngine,
 		req: GenerateRequest{Customer: a.Spec.Customer, Entry: a.Spec.Entry, Prompt: g.Prompt, MaxTokens: g.MaxTokens, Group: g.ID,
 			RequestID: fmt.Sprintf("%s.%s.%d.%s.%d", a.Spec.ID, g.ID, a.Index, in.life, a.Number)}}
 	res, err := gen.run(ctx)
--- a/pkg/entry/steps.go
+++ b/pkg/entry/steps.go
@@ -26,7 +26,7 @@
 }
 
 func stepStatus(head step.Head, delivered int) StepStatus {
-	return StepStatus{Desired: head.Desired, Groups: head.Groups, Delivered: delivered, DueAt: head.DueAt, Closed: head.Closed}
+	return StepStatus{Desired: head.Desired, Groups: head.Groups, Delivered: delivered, DueAt: head.Deadline, Closed: head.Closed}
 }
 
 // serveStep answers POST /v1/steps: 202 once the step is kept, also if it
@@ -65,7 +65,7 @@
 		return step.Head{}, verdict.BadRequest("step: entry %s is of class %s, not training", e.Name, e.Class)
 	case view.Draining:
 		return step.Head{}, verdict.Refuse(http.StatusServiceUnavailable, now, errDraining)
-	case !spec.DueAt.After(now):
+	case !spec.Deadline.After(now):
 		return step.Head{}, verdict.BadRequest("step %s: due_at has passed", spec.ID)
 	}
 	for _, g := range spec.Groups {
@@ -137,7 +137,7 @@
 		in.fail(w, in.stepError(key, err))
 		return
 	}
-	n, err := step.Delivered(r.Context(), in.cfg.Platform, key)
+	n, err := step.CountDelivered(r.Context(), in.cfg.Platform, key)
 	if err != nil {
 		in.fail(w, in.stepError(key, err))
 		return
--- a/pkg/entry/steps_test.go
+++ b/pkg/entry/steps_test.go
@@ -18,7 +18,7 @@
 
 // stepSpec is a step of groups×size short generations of entry drafts.
 func stepSpec(id string, groups, size, desired int) step.Spec {
-	s := step.Spec{Customer: "minho", Entry: "drafts", ID: id, Desired: desired, DueAt: time.Now().Add(20 * time.Second).UTC()}
+	s := step.Spec{Customer: "minho", Entry: "drafts", ID: id, Desired: desired, Deadline: time.Now().Add(20 * time.Second).UTC()}
 	for i := range groups {
 		s.Groups = append(s.Groups, step.Group{ID: fmt.Sprintf("%s-g%d", id, i), Prompt: fmt.Sprintf("prompt %d", i), Size: size, MaxTokens: 8})
 	}
@@ -195,7 +195,7 @@
 func TestGroupsTurnedAwayAreMadeAgain(t *testing.T) {
 	s := startSite(t, 2, 2, enginetest.Config{WeightVersion: 1})
 	nameVersion(t, s, 0, 1)
-	s.Trainer.Named(3)
+	s.Trainer.SetTargetVersion(3)
 	submit(t, s, 0, stepSpec("away", 8, 2, 8))
 	stale := func() int64 {
 		return s.Entries[0].Counter("samples_refused_stale") + s.Entries[1].Counter("samples_refused_stale")
--- a/pkg/entry/sweep.go
+++ b/pkg/entry/sweep.go
@@ -56,10 +56,10 @@
 // would run again, as docs/OPERATIONS.md says.
 func (in *Instance) sweepClaims(ctx context.Context, now time.Time) error {
 	removes := 0
-	for ago := claim.DaysKept + 1; ago <= claim.DaysKept+claimDaysSwept; ago++ {
+	for ago := claim.RetentionDays + 1; ago <= claim.RetentionDays+claimDaysSwept; ago++ {
 		prefix := claim.Key(now.AddDate(0, 0, -ago), "")
 		for ; removes < claimRemoves; removes++ {
-			rows, err := in.cfg.Platform.ScanSome(ctx, prefix, claimsPerRemove)
+			rows, err := in.cfg.Platform.ScanLimit(ctx, prefix, claimsPerRemove)
 			if err != nil {
 				return err
 			}
--- a/pkg/entry/view.go
+++ b/pkg/entry/view.go
@@ -11,5 +11,5 @@
 // View is the control state that traffic reads.
 type View = control.View
 
-// Delivery is the record of samples that await their trainer.
-type Delivery = delivery.Record
+// DeliveryRecord is the record of samples that await their trainer.
+type DeliveryRecord = delivery.Record
--- a/pkg/entry/weights.go
+++ b/pkg/entry/weights.go
@@ -51,16 +51,16 @@
 	if e.Class != catalogue.Training {
 		return verdict.BadRequest("weights: entry %s is of class %s, not training", e.Name, e.Class)
 	}
-	t := weights.Target{Pool: e.Pool, Version: req.Version, Author: req.Customer + "/" + e.Name, NamedAt: in.cfg.Clock.Now()}
-	err = weights.Name(ctx, in.cfg.Platform, t)
+	t := weights.Target{Pool: e.Pool, Version: req.Version, Author: req.Customer + "/" + e.Name, SetAt: in.cfg.Clock.Now()}
+	err = weights.SetTarget(ctx, in.cfg.Platform, t)
 	switch {
-	case errors.Is(err, weights.ErrOlder):
+	case errors.Is(err, weights.ErrOlderVersion):
 		return verdict.New(verdict.NotRun, http.StatusConflict, err)
 	case err != nil:
 		// The write may have taken effect; naming the version again is safe.
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Status: http.StatusServiceUnavailable,
 			RetryAt: in.comeBackAt(), Err: err}
 	}
-	in.post(ctx, control.Hinted{Changed: true})
+	in.post(ctx, control.PeerNotified{Changed: true})
 	return nil
 }
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -56,8 +56,8 @@
 	Pause func() time.Duration
 	// From is the version up to which the table is known already; 0 for nothing.
 	From uint64
-	// Tell is given each Update, in order.
-	Tell func(Update)
+	// OnUpdate is given each Update, in order.
+	OnUpdate func(Update)
 }
 
 // Run follows the table until ctx ends.
@@ -67,7 +67,7 @@
 		if ctx.Err() != nil {
 			return // it was given up here
 		}
-		f.Tell(Update{Table: f.Table, At: time.Now(), Err: err})
+		f.OnUpdate(Update{Table: f.Table, At: time.Now(), Err: err})
 		clock.Sleep(ctx, backoff/2+rand.N(backoff/2))
 		backoff = min(2*backoff, maxBackoff)
 	}
@@ -83,7 +83,7 @@
 				continue
 			}
 			backoff, version, known = minBackoff, scanned, true
-			f.Tell(Update{Table: f.Table, At: time.Now(), Reset: true, Changes: rows, Version: version})
+			f.OnUpdate(Update{Table: f.Table, At: time.Now(), Reset: true, Changes: rows, Version: version})
 		}
 		ch, err := f.Store.Changes(ctx, f.Table, version, f.Wait)
 		switch {
@@ -95,7 +95,7 @@
 			continue
 		}
 		backoff, version = minBackoff, ch.Version
-		f.Tell(Update{Table: f.Table, At: time.Now(), Changes: ch.Rows, Version: version})
+		f.OnUpdate(Update{Table: f.Table, At: time.Now(), Changes: ch.Rows, Version: version})
 		if f.Pause != nil {
 			clock.Sleep(ctx, f.Pause())
 		}
--- a/pkg/feed/feed_test.go
+++ b/pkg/feed/feed_test.go
@@ -102,7 +102,7 @@
 	tab.put("t/1/x")
 	var mu sync.Mutex
 	known, resets, lost := map[string]bool{}, 0, 0
-	f := feed.Follower{Store: tab, Table: "t", Prefixes: []string{"t/0/", "t/1/"}, Wait: 20 * time.Millisecond, Tell: func(u feed.Update) {
+	f := feed.Follower{Store: tab, Table: "t", Prefixes: []string{"t/0/", "t/1/"}, Wait: 20 * time.Millisecond, OnUpdate: func(u feed.Update) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
@@ -150,7 +150,7 @@
 // While the store is away a follower calls it a few times a second at most.
 func TestFollowerBacksOff(t *testing.T) {
 	tab := &table{away: true}
-	f := feed.Follower{Store: tab, Table: "t", Prefixes: []string{"t/0/"}, Tell: func(feed.Update) {}}
+	f := feed.Follower{Store: tab, Table: "t", Prefixes: []string{"t/0/"}, OnUpdate: func(feed.Update) {}}
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
 	if err := f.Run(ctx); err != nil {
@@ -168,7 +168,7 @@
 	tab.put("t/0/b")
 	var mu sync.Mutex
 	var told []feed.Update
-	f := feed.Follower{Store: tab, Table: "t", Prefixes: []string{"t/0/"}, Wait: 5 * time.Millisecond, Tell: func(u feed.Update) {
+	f := feed.Follower{Store: tab, Table: "t", Prefixes: []string{"t/0/"}, Wait: 5 * time.Millisecond, OnUpdate: func(u feed.Update) {
 		mu.Lock()
 		defer mu.Unlock()
 		told = append(told, u)
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -43,8 +43,8 @@
 	return quarantine.Content{Method: r.Method, Host: r.Host, URI: r.URI, Model: r.Model, Body: r.Body}
 }
 
-// Answer is the whole answer of an upstream.
-type Answer struct {
+// Response is the whole answer of an upstream.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -72,7 +72,7 @@
 // with the load that the upstream told, if any. It also returns answers whose
 // status tells a failure; errors mean that there is no answer of the upstream's.
 type Transport interface {
-	Send(ctx context.Context, to upstream.Entry, r Request) (Answer, *upstream.Load, error)
+	Send(ctx context.Context, to upstream.Entry, r Request) (Response, *upstream.Load, error)
 }
 
 // Config configures a Forwarder.
@@ -86,8 +86,8 @@
 	Affinity string
 	// Guard keeps requests that crash upstreams from them; nil for none.
 	Guard *quarantine.Guard
-	// Observe is told of each attempt that has ended; nil for none.
-	Observe func(Attempt)
+	// OnAttempt is told of each attempt that has ended; nil for none.
+	OnAttempt func(Attempt)
 }
 
 // Attempt is one try of a request at an upstream.
@@ -109,51 +109,51 @@
 // Forwarder forwards requests whose answers are sent whole.
 type Forwarder struct {
 	cfg      Config
-	returns  Returns
+	returns  RetryScheduler
 	lastTook atomic.Int64 // of the last attempt that was answered, as a time.Duration
 }
 
 // New returns a Forwarder.
 func New(cfg Config) *Forwarder {
-	if cfg.Observe == nil {
-		cfg.Observe = func(Attempt) {}
+	if cfg.OnAttempt == nil {
+		cfg.OnAttempt = func(Attempt) {}
 	}
 	return &Forwarder{cfg: cfg}
 }
 
 // Do forwards r by route rt and returns the upstream's answer, or a
 // *verdict.Error that tells whether r may have run.
-func (f *Forwarder) Do(ctx context.Context, rt routetable.Route, r Request) (Answer, error) {
+func (f *Forwarder) Do(ctx context.Context, rt routetable.Route, r Request) (Response, error) {
 	begun := time.Now()
 	plan := NewPlan(rt, begun, r.Deadline)
-	r.Deadline = plan.AnswerBy
-	ctx, cancel := context.WithDeadline(ctx, plan.AnswerBy)
+	r.Deadline = plan.Deadline
+	ctx, cancel := context.WithDeadline(ctx, plan.Deadline)
 	defer cancel()
-	pool := rt.Pick(rand.Float64())
+	pool := rt.PickPool(rand.Float64())
 	affinity := f.cfg.Affinity
-	if took := time.Duration(f.lastTook.Load()); rt.Objective > 0 && float64(took) > exploreFrom*float64(rt.Objective) {
+	if took := time.Duration(f.lastTook.Load()); rt.LatencyObjective > 0 && float64(took) > exploreFrom*float64(rt.LatencyObjective) {
 		affinity = r.ID
 	}
 	for {
 		now := time.Now()
 		if err := f.cfg.Guard.Check(r.content(), now); err != nil {
-			return Answer{}, f.end(plan, pool, now, err)
+			return Response{}, f.end(plan, pool, now, err)
 		}
-		t, wait := plan.Next(f.cfg.Registry, upstream.Want{Pool: pool, At: now, Affinity: affinity})
+		t, wait := plan.Next(f.cfg.Registry, upstream.Requirements{Pool: pool, Now: now, Affinity: affinity})
 		if t == nil && wait > 0 && clock.Sleep(ctx, wait) {
 			continue
 		}
 		if t == nil {
-			return Answer{}, f.end(plan, pool, now, errNoRoom)
+			return Response{}, f.end(plan, pool, now, errNoRoom)
 		}
 		a, err := f.attempt(ctx, plan, t, rt, r)
-		done, err := plan.Ended(t.ID, a.Status, err, time.Now())
+		done, err := plan.EndAttempt(t.ID, a.Status, err, time.Now())
 		switch {
 		case done && err == nil:
 			f.returns.Served(pool, time.Now())
 			return a, nil
 		case done:
-			return Answer{}, f.end(plan, pool, time.Now(), err)
+			return Response{}, f.end(plan, pool, time.Now(), err)
 		}
 	}
 }
@@ -161,28 +161,28 @@
 var errNoRoom = errors.New("no upstream can take the request")
 
 // attempt tries r once at the ticket's upstream.
-func (f *Forwarder) attempt(ctx context.Context, plan *Plan, t *upstream.Ticket, rt routetable.Route, r Request) (Answer, error) {
+func (f *Forwarder) attempt(ctx context.Context, plan *Plan, t *upstream.Reservation, rt routetable.Route, r Request) (Response, error) {
 	run, err := f.cfg.Guard.Begin(ctx, r.content(), t.Entry)
 	if err != nil {
 		t.Release()
-		return Answer{}, err
+		return Response{}, err
 	}
 	begun := time.Now()
-	actx, cancel := context.WithDeadline(ctx, plan.AttemptUntil(begun))
+	actx, cancel := context.WithDeadline(ctx, plan.AttemptDeadline(begun))
 	defer cancel()
 	a, load, err := f.cfg.Transport.Send(actx, t.Entry, r)
 	rep := report(ctx, actx, err, load)
 	if err == nil {
-		rep.Pace = rep.At.Sub(begun)
-		f.lastTook.Store(int64(rep.Pace))
+		rep.TimePerUnit = rep.At.Sub(begun)
+		f.lastTook.Store(int64(rep.TimePerUnit))
 		rep.Failed = a.Status >= http.StatusInternalServerError
 	}
 	t.Done(rep)
 	seen := Attempt{Request: r.ID, Content: r.content(), Route: rt.Name, Customer: r.Customer, Upstream: t.ID, Number: len(plan.Tried()) + 1, Status: a.Status, Took: rep.At.Sub(begun), Err: err}
-	if !errors.Is(err, ErrNotRun) && !plan.Ran() {
+	if !errors.Is(err, ErrNotRun) && !plan.MayHaveRun() {
 		seen.BegunAt = begun
 	}
-	f.cfg.Observe(seen)
+	f.cfg.OnAttempt(seen)
 	run.Done(ctx, outcome(actx, a.Status, err))
 	return a, err
 }
@@ -199,18 +199,18 @@
 	case errors.Is(err, ErrNotRun):
 		return quarantine.NotRun
 	case ctx.Err() != nil:
-		return quarantine.Left
+		return quarantine.Abandoned
 	}
-	return quarantine.Broken
+	return quarantine.ConnectionLost
 }
 
 // report returns what an attempt's error says of its upstream, where ctx is the
 // request's and actx the attempt's.
-func report(ctx, actx context.Context, err error, load *upstream.Load) upstream.Report {
-	rep := upstream.Report{At: time.Now(), Load: load}
+func report(ctx, actx context.Context, err error, load *upstream.Load) upstream.AttemptResult {
+	rep := upstream.AttemptResult{At: time.Now(), Load: load}
 	switch {
 	case err == nil:
-	case Refused(&rep, err, BusyPause):
+	case RecordRefusal(&rep, err, BusyBackoff):
 	case ctx.Err() != nil && actx.Err() != context.DeadlineExceeded:
 		// The caller left: that says nothing of the upstream.
 	default:
@@ -219,12 +219,12 @@
 	return rep
 }
 
-// Refused reports whether err tells that the upstream did not take an attempt,
+// RecordRefusal reports whether err tells that the upstream did not take an attempt,
 // and writes to rep why. An upstream that had no room is left alone for pause.
-func Refused(rep *upstream.Report, err error, pause time.Duration) bool {
+func RecordRefusal(rep *upstream.AttemptResult, err error, pause time.Duration) bool {
 	switch {
 	case errors.Is(err, ErrMisdirected):
-		rep.Gone = true
+		rep.AddressReused = true
 	case errors.Is(err, ErrUnreachable):
 		rep.Unreachable = true
 	case errors.Is(err, ErrNotRun):
@@ -238,7 +238,7 @@
 // end returns the error of a request that gets no answer of an upstream of pool.
 func (f *Forwarder) end(p *Plan, pool string, now time.Time, cause error) error {
 	switch {
-	case p.ran > 0 && !now.Before(p.AnswerBy):
+	case p.ran > 0 && !now.Before(p.Deadline):
 		return verdict.New(verdict.MayHaveRun, http.StatusGatewayTimeout, cause)
 	case p.ran > 0:
 		return verdict.New(verdict.MayHaveRun, http.StatusBadGateway, cause)
@@ -247,5 +247,5 @@
 	if errors.As(cause, &refused) {
 		return verdict.Refuse(http.StatusServiceUnavailable, refused.Until, cause)
 	}
-	return verdict.Refuse(http.StatusServiceUnavailable, f.returns.Reject(pool, now, p.AnswerBy, rand.Float64()), cause)
+	return verdict.Refuse(http.StatusServiceUnavailable, f.returns.Reject(pool, now, p.Deadline, rand.Float64()), cause)
 }
--- a/pkg/forward/plan.go
+++ b/pkg/forward/plan.go
@@ -18,9 +18,9 @@
 	// answerMargin is how long before the end of the caller's time the answer
 	// leaves, so that it arrives in time; at most a quarter of that time.
 	answerMargin = 20 * time.Millisecond
-	// BusyPause is how long an upstream that had no room is left alone: a few
+	// BusyBackoff is how long an upstream that had no room is left alone: a few
 	// of its requests end in that time.
-	BusyPause = 60 * time.Millisecond
+	BusyBackoff = 60 * time.Millisecond
 	// waitStep is how often a request that waits for room looks for it.
 	waitStep = 15 * time.Millisecond
 	// returnAfter is when a caller may come back at the soonest that no upstream
@@ -42,7 +42,7 @@
 // upstream that has gone dark, whose requests would otherwise wait for their
 // deadline, without sending a request to more upstreams than its route allows.
 type Plan struct {
-	AnswerBy time.Time // the caller has its answer by then
+	Deadline time.Time // the caller has its answer by then
 	begun    time.Time
 	route    routetable.Route
 	tried    []string // upstreams, in order
@@ -61,7 +61,7 @@
 		by = deadline
 	}
 	margin := min(answerMargin, max(by.Sub(now), 0)/4)
-	return &Plan{AnswerBy: by.Add(-margin), begun: now, route: rt}
+	return &Plan{Deadline: by.Add(-margin), begun: now, route: rt}
 }
 
 // MayWait reports whether a request for which no upstream has room at now waits
@@ -69,28 +69,28 @@
 // for BusyPause only. None waits longer than a quarter of its objective, as its
 // caller could be served elsewhere.
 func (p *Plan) MayWait(now time.Time) bool {
-	limit := BusyPause + waitStep
-	if p.route.Objective > 0 {
-		limit = min(limit, p.route.Objective/4)
+	limit := BusyBackoff + waitStep
+	if p.route.LatencyObjective > 0 {
+		limit = min(limit, p.route.LatencyObjective/4)
 	}
 	after := now.Add(waitStep)
-	return after.Sub(p.begun) <= limit && after.Before(p.AnswerBy)
+	return after.Sub(p.begun) <= limit && after.Before(p.Deadline)
 }
 
 // Next returns a ticket of the upstream that the request is sent to next, or how
 // long it waits before it asks again; neither if it is to be turned away.
-func (p *Plan) Next(r *upstream.Registry, w upstream.Want) (*upstream.Ticket, time.Duration) {
-	w.Except = p.tried
+func (p *Plan) Next(r *upstream.Registry, w upstream.Requirements) (*upstream.Reservation, time.Duration) {
+	w.Exclude = p.tried
 	if t, ok := r.Acquire(w); ok {
 		return t, 0
 	}
-	if len(p.tried) > 0 && p.MayRepeat() {
+	if len(p.tried) > 0 && p.MayRetry() {
 		// Each upstream has been tried: one that had no room may have some now.
-		if t, ok := r.Acquire(upstream.Want{Pool: w.Pool, At: w.At}); ok {
+		if t, ok := r.Acquire(upstream.Requirements{Pool: w.Pool, Now: w.Now}); ok {
 			return t, 0
 		}
 	}
-	if p.MayWait(w.At) {
+	if p.MayWait(w.Now) {
 		return nil, waitStep
 	}
 	return nil, 0
@@ -99,32 +99,32 @@
 // Tried returns the upstreams that the request was sent to.
 func (p *Plan) Tried() []string { return p.tried }
 
-// Ran reports whether an attempt that has ended may have run.
-func (p *Plan) Ran() bool { return p.ran > 0 }
+// MayHaveRun reports whether an attempt that has ended may have run.
+func (p *Plan) MayHaveRun() bool { return p.ran > 0 }
 
-// MayRepeat reports whether the request may be sent once more, now that
+// MayRetry reports whether the request may be sent once more, now that
 // attempts have ended as they did.
-func (p *Plan) MayRepeat() bool {
+func (p *Plan) MayRetry() bool {
 	if p.ran > 0 && p.route.Kind != routetable.Idempotent {
 		return false
 	}
 	return p.ran < p.route.MaxAttempts && p.refused < p.route.MaxAttempts+extraRefusals
 }
 
-// AttemptUntil returns when an attempt begun at now is given up. The last one
+// AttemptDeadline returns when an attempt begun at now is given up. The last one
 // has all the time that is left.
-func (p *Plan) AttemptUntil(now time.Time) time.Time {
+func (p *Plan) AttemptDeadline(now time.Time) time.Time {
 	if p.route.Kind != routetable.Idempotent || p.ran+1 >= p.route.MaxAttempts {
-		return p.AnswerBy
+		return p.Deadline
 	}
-	left := p.AnswerBy.Sub(now)
-	limit := max(patience*p.route.Objective, minPatience)
+	left := p.Deadline.Sub(now)
+	limit := max(patience*p.route.LatencyObjective, minPatience)
 	return now.Add(min(limit, left/2))
 }
 
-// Ended tells how an attempt ended, and reports whether the request is done:
+// EndAttempt tells how an attempt ended, and reports whether the request is done:
 // with the answer of that attempt if the error is nil.
-func (p *Plan) Ended(upstreamID string, status int, err error, now time.Time) (bool, error) {
+func (p *Plan) EndAttempt(upstreamID string, status int, err error, now time.Time) (bool, error) {
 	if errors.Is(err, quarantine.ErrQuarantined) {
 		return true, err // it was not sent
 	}
@@ -133,7 +133,7 @@
 	}
 	if err == nil {
 		p.ran++
-		again := status >= http.StatusInternalServerError && p.MayRepeat() && now.Before(p.AnswerBy)
+		again := status >= http.StatusInternalServerError && p.MayRetry() && now.Before(p.Deadline)
 		return !again, nil
 	}
 	if errors.Is(err, ErrNotRun) {
@@ -141,7 +141,7 @@
 	} else {
 		p.ran++
 	}
-	if !p.MayRepeat() || !now.Before(p.AnswerBy) {
+	if !p.MayRetry() || !now.Before(p.Deadline) {
 		return true, err
 	}
 	return false, nil
--- a/pkg/forward/returns.go
+++ b/pkg/forward/returns.go
@@ -20,12 +20,12 @@
 	returnShare = 1.0 / 3
 )
 
-// Returns decides when callers that were turned away come back. It answers a
+// RetryScheduler decides when callers that were turned away come back. It answers a
 // burst that leaves a pool more requests than it has room for: callers that all
 // return after the same pause are a burst again, so they are spread over the time
 // in which the pool serves as many as were turned away. Its zero value is ready
 // for use; it is safe for concurrent use.
-type Returns struct {
+type RetryScheduler struct {
 	mu    sync.Mutex
 	pools map[string]*flow
 }
@@ -45,7 +45,7 @@
 }
 
 // flow returns the counts of a pool as of now. Its caller holds the lock.
-func (r *Returns) flow(pool string, now time.Time) *flow {
+func (r *RetryScheduler) flow(pool string, now time.Time) *flow {
 	if r.pools == nil {
 		r.pools = map[string]*flow{}
 	}
@@ -59,7 +59,7 @@
 }
 
 // Served counts a request that the pool has served.
-func (r *Returns) Served(pool string, now time.Time) {
+func (r *RetryScheduler) Served(pool string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.flow(pool, now).served++
@@ -68,7 +68,7 @@
 // Reject counts a request that the pool had no room for, and returns when its
 // caller, who waits until deadline, may come back. draw is drawn evenly from
 // [0, 1).
-func (r *Returns) Reject(pool string, now, deadline time.Time, draw float64) time.Time {
+func (r *RetryScheduler) Reject(pool string, now, deadline time.Time, draw float64) time.Time {
 	r.mu.Lock()
 	f := r.flow(pool, now)
 	f.rejected++
--- a/pkg/forward/returns_test.go
+++ b/pkg/forward/returns_test.go
@@ -13,7 +13,7 @@
 // time, and not sooner than after the least pause, unless that is longer.
 func TestReturnsLeaveTimeForAnAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r forward.Returns
+		var r forward.RetryScheduler
 		now := time.Unix(1_800_000_000, 0)
 		for range rapid.IntRange(0, 200).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause_ms")) * time.Millisecond)
@@ -37,7 +37,7 @@
 func TestReturnsSpreadWithTheBacklog(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	latest := func(served, rejected int, other string) time.Duration {
-		var r forward.Returns
+		var r forward.RetryScheduler
 		for range served {
 			r.Served("p", now)
 		}
--- a/pkg/forward/stream.go
+++ b/pkg/forward/stream.go
@@ -28,29 +28,29 @@
 	Close()
 }
 
-// Opened is an upstream's answer to a request for a stream: the stream, or a
+// StreamResponse is an upstream's answer to a request for a stream: the stream, or a
 // whole answer if Events is nil.
-type Opened struct {
-	Answer
+type StreamResponse struct {
+	Response
 	Events EventStream
 }
 
 // Opener asks an upstream for a stream that goes on after an event (0 to
 // begin). Its errors are those of Transport.
 type Opener interface {
-	Open(ctx context.Context, to upstream.Entry, r Request, after int) (Opened, *upstream.Load, error)
+	Open(ctx context.Context, to upstream.Entry, r Request, after int) (StreamResponse, *upstream.Load, error)
 }
 
 // Sink takes the answer to a caller as it comes.
 type Sink interface {
-	Begin(a Answer)         // status and header, of the first upstream
+	Begin(a Response)       // status and header, of the first upstream
 	Event(raw []byte) error // one event, to be sent at once
-	Whole(a Answer)         // instead of both: an answer that is no stream
+	Respond(a Response)     // instead of both: an answer that is no stream
 }
 
-// ErrBroken is returned by Stream when a stream that had begun cannot go on:
+// ErrStreamInterrupted is returned by Stream when a stream that had begun cannot go on:
 // the caller must not take what it has for the whole.
-var ErrBroken = errors.New("forward: the stream broke off")
+var ErrStreamInterrupted = errors.New("forward: the stream broke off")
 
 // errCallerLeft ends an attempt whose events the caller takes no more.
 var errCallerLeft = errors.New("forward: the caller has left")
@@ -68,17 +68,17 @@
 		rt.Kind = routetable.Idempotent // it may be asked for again
 	}
 	plan := NewPlan(rt, time.Now(), r.Deadline)
-	r.Deadline = plan.AnswerBy
-	ctx, cancel := context.WithDeadline(ctx, plan.AnswerBy)
+	r.Deadline = plan.Deadline
+	ctx, cancel := context.WithDeadline(ctx, plan.Deadline)
 	defer cancel()
-	pool := rt.Pick(rand.Float64())
+	pool := rt.PickPool(rand.Float64())
 	s := &streaming{f: f, plan: plan, route: rt, pool: pool, request: r, sink: sink}
 	for {
 		now := time.Now()
 		if err := f.cfg.Guard.Check(r.content(), now); err != nil {
 			return s.end(now, err)
 		}
-		t, ok := f.cfg.Registry.Acquire(upstream.Want{Pool: pool, At: now, Except: plan.Tried(), Model: r.Model, Affinity: prompt})
+		t, ok := f.cfg.Registry.Acquire(upstream.Requirements{Pool: pool, Now: now, Exclude: plan.Tried(), Model: r.Model, Affinity: prompt})
 		if !ok && plan.MayWait(now) && clock.Sleep(ctx, waitStep) {
 			continue
 		}
@@ -90,7 +90,7 @@
 			f.returns.Served(pool, time.Now())
 			return nil
 		}
-		done, err := plan.Ended(t.ID, status, err, time.Now())
+		done, err := plan.EndAttempt(t.ID, status, err, time.Now())
 		if done {
 			return s.end(time.Now(), err)
 		}
@@ -114,13 +114,13 @@
 // end ends a request that no upstream serves any more.
 func (s *streaming) end(now time.Time, err error) error {
 	if s.begun {
-		return errors.Join(ErrBroken, err)
+		return errors.Join(ErrStreamInterrupted, err)
 	}
 	return s.f.end(s.plan, s.pool, now, err)
 }
 
 // attempt asks one upstream, and passes on what it gives.
-func (s *streaming) attempt(ctx context.Context, t *upstream.Ticket) (int, error) {
+func (s *streaming) attempt(ctx context.Context, t *upstream.Reservation) (int, error) {
 	guarded, err := s.f.cfg.Guard.Begin(ctx, s.request.content(), t.Entry)
 	if err != nil {
 		t.Release()
@@ -130,20 +130,20 @@
 	defer cancel()
 	heard := func(time.Duration) {}
 	if s.route.Resumable {
-		silence := time.AfterFunc(max(firstEventWait, patience*s.route.Objective), cancel)
+		silence := time.AfterFunc(max(firstEventWait, patience*s.route.LatencyObjective), cancel)
 		defer silence.Stop()
 		heard = func(d time.Duration) { silence.Reset(d) }
 	}
 	status, err := s.run(ctx, actx, t, time.Now(), heard)
 	o := outcome(actx, status, err)
 	if errors.Is(err, errCallerLeft) {
-		o = quarantine.Left
+		o = quarantine.Abandoned
 	}
 	guarded.Done(ctx, o)
 	return status, err
 }
 
-func (s *streaming) run(ctx, actx context.Context, t *upstream.Ticket, begun time.Time, heard func(time.Duration)) (int, error) {
+func (s *streaming) run(ctx, actx context.Context, t *upstream.Reservation, begun time.Time, heard func(time.Duration)) (int, error) {
 	o, load, err := s.f.cfg.Opener.Open(actx, t.Entry, s.request, s.last)
 	events := 0
 	var firstAt time.Time // when the upstream's work was first seen
@@ -151,13 +151,13 @@
 	case err != nil:
 	case o.Events == nil:
 		firstAt = begun
-		if !s.begun && (o.Status < http.StatusInternalServerError || !s.plan.MayRepeat()) {
-			s.sink.Whole(o.Answer)
+		if !s.begun && (o.Status < http.StatusInternalServerError || !s.plan.MayRetry()) {
+			s.sink.Respond(o.Response)
 			s.complete = true
 		}
 	default:
 		if !s.begun {
-			s.sink.Begin(o.Answer)
+			s.sink.Begin(o.Response)
 			s.begun = true
 		}
 		events, err = s.pass(o.Events, func(d time.Duration) {
@@ -170,7 +170,7 @@
 	}
 	rep := report(ctx, actx, err, load)
 	if events > 0 {
-		rep.Pace = time.Since(begun) / time.Duration(events)
+		rep.TimePerUnit = time.Since(begun) / time.Duration(events)
 	}
 	rep.Failed = rep.Failed || err == nil && o.Status >= http.StatusInternalServerError
 	t.Done(rep)
@@ -178,7 +178,7 @@
 	if !s.counted && !firstAt.IsZero() {
 		s.counted, seen.BegunAt = true, firstAt
 	}
-	s.f.cfg.Observe(seen)
+	s.f.cfg.OnAttempt(seen)
 	return o.Status, err
 }
 
--- a/pkg/health/pace.go
+++ b/pkg/health/pace.go
@@ -14,9 +14,9 @@
 	// one: the lower quartile, so that engines are found slow also when they are
 	// two of the three that an instance uses.
 	usualRank = 0.25
-	// DefaultSlowFrom is how many times the usual time counts as slow;
+	// DefaultSlowFactor is how many times the usual time counts as slow;
 	// less is the ordinary difference between batches.
-	DefaultSlowFrom = 2.0
+	DefaultSlowFactor = 2.0
 	// maxSlowness bounds how slow an upstream is taken for.
 	maxSlowness = 16.0
 	// paceMemory is how long a pace is believed without a new observation,
@@ -24,9 +24,9 @@
 	paceMemory = 10 * time.Second
 )
 
-// Paces tracks how long upstreams take for a token, by what this process's own
+// TokenTimes tracks how long upstreams take for a token, by what this process's own
 // streams saw. It is safe for concurrent use. Call NewPaces.
-type Paces struct {
+type TokenTimes struct {
 	slowFrom float64
 
 	mu    sync.Mutex
@@ -38,22 +38,22 @@
 	at       time.Time     // last observation
 }
 
-// NewPaces returns a Paces that knows nothing yet and takes for slow what takes
+// NewTokenTimes returns a Paces that knows nothing yet and takes for slow what takes
 // slowFrom times the usual time: 0 means DefaultSlowFrom, and less that
 // nothing is slow.
-func NewPaces(slowFrom float64) *Paces {
+func NewTokenTimes(slowFrom float64) *TokenTimes {
 	switch {
 	case slowFrom == 0:
-		slowFrom = DefaultSlowFrom
+		slowFrom = DefaultSlowFactor
 	case slowFrom < 0:
 		slowFrom = math.Inf(1)
 	}
-	return &Paces{slowFrom: slowFrom, paces: map[string]pace{}}
+	return &TokenTimes{slowFrom: slowFrom, paces: map[string]pace{}}
 }
 
 // Observe tells that a stream from the upstream at addr took perToken for each
 // token.
-func (p *Paces) Observe(addr string, perToken time.Duration, now time.Time) {
+func (p *TokenTimes) Observe(addr string, perToken time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old, ok := p.paces[addr]
@@ -66,7 +66,7 @@
 // Slowness returns, for each of addrs, how many times the usual time it takes,
 // that of the lower quartile: 1 for those not slow and those not known, which are never held
 // against each other.
-func (p *Paces) Slowness(addrs []string, now time.Time) []float64 {
+func (p *TokenTimes) Slowness(addrs []string, now time.Time) []float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]float64, len(addrs)) // first the times, 0 for those not known
@@ -91,7 +91,7 @@
 }
 
 // known returns the pace of the upstream at addr, if it is recent.
-func (p *Paces) known(addr string, now time.Time) (time.Duration, bool) {
+func (p *TokenTimes) known(addr string, now time.Time) (time.Duration, bool) {
 	k, ok := p.paces[addr]
 	return max(k.perToken, 1), ok && now.Sub(k.at) < paceMemory
 }
--- a/pkg/health/pace_test.go
+++ b/pkg/health/pace_test.go
@@ -20,7 +20,7 @@
 func TestSlownessIsAgainstTheLowerQuartile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_800_000_000, 0)
-		p := health.NewPaces(0)
+		p := health.NewTokenTimes(0)
 		factors := rapid.SliceOfN(rapid.SampledFrom([]float64{1, 1, 1, 1.5, 4, 8}), 1, 9).Draw(t, "factors")
 		known := rapid.SliceOfN(rapid.Bool(), len(factors), len(factors)).Draw(t, "known")
 		var addrs []string
@@ -35,7 +35,7 @@
 		slices.Sort(paces)
 		for i, got := range p.Slowness(addrs, now) {
 			want := 1.0
-			if known[i] && factors[i] >= health.DefaultSlowFrom*paces[(len(paces)-1)/4] {
+			if known[i] && factors[i] >= health.DefaultSlowFactor*paces[(len(paces)-1)/4] {
 				want = factors[i] / paces[(len(paces)-1)/4]
 			}
 			if got != want {
@@ -49,7 +49,7 @@
 // is tried again, and one that recovers is soon usual.
 func TestSlowUpstreamsRecover(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	p := health.NewPaces(0)
+	p := health.NewTokenTimes(0)
 	addrs := []string{"a", "b", "slow", "mended"}
 	for _, a := range addrs {
 		p.Observe(a, usual, now)
@@ -79,7 +79,7 @@
 // A negative factor takes nothing for slow.
 func TestNothingIsSlowByANegativeFactor(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	p := health.NewPaces(-1)
+	p := health.NewTokenTimes(-1)
 	p.Observe("a", usual, now)
 	p.Observe("b", usual, now)
 	p.Observe("c", 8*usual, now)
--- a/pkg/health/tracker.go
+++ b/pkg/health/tracker.go
@@ -10,12 +10,12 @@
 
 // Config says when an upstream is ejected and for how long.
 type Config struct {
-	// Failures in a row that eject an upstream; default 2.
-	Failures int
-	// EjectFor is how long the first ejection lasts; each failure after it
+	// FailureThreshold in a row that eject an upstream; default 2.
+	FailureThreshold int
+	// EjectionTime is how long the first ejection lasts; each failure after it
 	// doubles the time, up to MaxEjectFor. Defaults 500ms and 10s.
-	EjectFor    time.Duration
-	MaxEjectFor time.Duration
+	EjectionTime    time.Duration
+	MaxEjectionTime time.Duration
 }
 
 // Tracker keeps the health of upstreams by address. It is safe for
@@ -34,29 +34,29 @@
 
 // NewTracker returns a Tracker to which every upstream is healthy.
 func NewTracker(cfg Config) *Tracker {
-	if cfg.Failures == 0 {
-		cfg.Failures = 2
+	if cfg.FailureThreshold == 0 {
+		cfg.FailureThreshold = 2
 	}
-	if cfg.EjectFor == 0 {
-		cfg.EjectFor = 500 * time.Millisecond
+	if cfg.EjectionTime == 0 {
+		cfg.EjectionTime = 500 * time.Millisecond
 	}
-	if cfg.MaxEjectFor == 0 {
-		cfg.MaxEjectFor = 10 * time.Second
+	if cfg.MaxEjectionTime == 0 {
+		cfg.MaxEjectionTime = 10 * time.Second
 	}
 	return &Tracker{cfg: cfg, upstreams: map[string]*upstream{}}
 }
 
-// Succeeded tells that the upstream at addr answered.
-func (t *Tracker) Succeeded(addr string) {
+// RecordSuccess tells that the upstream at addr answered.
+func (t *Tracker) RecordSuccess(addr string) {
 	t.mu.Lock()
 	delete(t.upstreams, addr)
 	t.mu.Unlock()
 }
 
-// Failed tells that a request to the upstream at addr got no answer at now.
+// RecordFailure tells that a request to the upstream at addr got no answer at now.
 // Fatal means that it took no connection at all, which ejects it at once.
 // It reports whether the upstream is now ejected and was not before.
-func (t *Tracker) Failed(addr string, now time.Time, fatal bool) bool {
+func (t *Tracker) RecordFailure(addr string, now time.Time, fatal bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.upstreams[addr]
@@ -66,9 +66,9 @@
 	}
 	u.failures++
 	if fatal {
-		u.failures = max(u.failures, t.cfg.Failures)
+		u.failures = max(u.failures, t.cfg.FailureThreshold)
 	}
-	if u.failures < t.cfg.Failures || now.Before(u.ejectedTo) {
+	if u.failures < t.cfg.FailureThreshold || now.Before(u.ejectedTo) {
 		return false
 	}
 	fresh := u.ejectedTo.IsZero()
@@ -77,11 +77,11 @@
 }
 
 func (t *Tracker) ejection(failures int) time.Duration {
-	d := t.cfg.EjectFor
-	for i := t.cfg.Failures; i < failures && d < t.cfg.MaxEjectFor; i++ {
+	d := t.cfg.EjectionTime
+	for i := t.cfg.FailureThreshold; i < failures && d < t.cfg.MaxEjectionTime; i++ {
 		d *= 2
 	}
-	return min(d, t.cfg.MaxEjectFor)
+	return min(d, t.cfg.MaxEjectionTime)
 }
 
 // Usable reports whether the upstream at addr may be sent a request at now.
@@ -92,13 +92,13 @@
 	return u == nil || !now.Before(u.ejectedTo)
 }
 
-// Trying tells that a request is about to be sent to the upstream at addr.
+// RecordAttempt tells that a request is about to be sent to the upstream at addr.
 // After an ejection that request tries the upstream, and others keep away
 // until it succeeds or another EjectFor has passed.
-func (t *Tracker) Trying(addr string, now time.Time) {
+func (t *Tracker) RecordAttempt(addr string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if u := t.upstreams[addr]; u != nil && !u.ejectedTo.IsZero() && !now.Before(u.ejectedTo) {
-		u.ejectedTo = now.Add(t.cfg.EjectFor)
+		u.ejectedTo = now.Add(t.cfg.EjectionTime)
 	}
 }
--- a/pkg/lease/example_test.go
+++ b/pkg/lease/example_test.go
@@ -15,19 +15,19 @@
 
 // A lease passes to another holder once it has stood unchanged for its time,
 // with a higher fencing number.
-func ExampleKeeper() {
+func ExampleManager() {
 	hs := httptest.NewServer(platformtest.New().Handler())
 	defer hs.Close()
 	ctx, fake := context.Background(), clock.NewFake(time.Unix(1_800_000_000, 0))
-	keeper := func(holder string) *lease.Keeper {
-		return &lease.Keeper{Table: platform.NewClient(hs.URL, nil), Clock: fake, Name: "rollout/assistant-pool", Holder: holder, TTL: 3 * time.Second}
+	keeper := func(holder string) *lease.Manager {
+		return &lease.Manager{Table: platform.NewClient(hs.URL, nil), Clock: fake, Name: "rollout/assistant-pool", Holder: holder, TTL: 3 * time.Second}
 	}
 	a, b := keeper("entry-1"), keeper("entry-2")
-	first, _ := a.Take(ctx, nil)
-	_, err := b.Take(ctx, nil)
+	first, _ := a.Acquire(ctx, nil)
+	_, err := b.Acquire(ctx, nil)
 	fmt.Println("held by another:", errors.Is(err, lease.ErrHeld))
 	fake.Advance(3 * time.Second) // entry-1 is paused
-	second, err := b.Take(ctx, nil)
+	second, err := b.Acquire(ctx, nil)
 	fmt.Println("taken over:", err == nil, second.Fencing > first.Fencing)
 	// Output:
 	// held by another: true
--- a/pkg/lease/keeper_test.go
+++ b/pkg/lease/keeper_test.go
@@ -22,7 +22,7 @@
 // keeper is one process: its Keeper, its clock, which runs at the true rate
 // from a start of its own, and what it believes.
 type keeper struct {
-	lease.Keeper
+	lease.Manager
 	clock *clock.Fake
 	held  lease.Held
 }
@@ -50,7 +50,7 @@
 		for i := range ks {
 			c := clock.NewFake(time.Unix(1_800_000_000, 0).Add(time.Duration(rapid.IntRange(-7200, 7200).Draw(t, "skew_s")) * time.Second))
 			ttl := time.Duration(rapid.IntRange(1, 6).Draw(t, "ttl_s")) * time.Second
-			ks[i] = &keeper{clock: c, Keeper: lease.Keeper{Table: table, Clock: c, Name: name, Holder: string(rune('A' + i)), TTL: ttl}}
+			ks[i] = &keeper{clock: c, Manager: lease.Manager{Table: table, Clock: c, Name: name, Holder: string(rune('A' + i)), TTL: ttl}}
 		}
 		var highest uint64
 		t.Repeat(map[string]func(*rapid.T){
@@ -62,7 +62,7 @@
 			},
 			"take": func(t *rapid.T) {
 				k := rapid.SampledFrom(ks).Draw(t, "keeper")
-				held, err := k.Take(context.Background(), nil)
+				held, err := k.Acquire(context.Background(), nil)
 				if errors.Is(err, lease.ErrHeld) {
 					k.held = lease.Held{}
 				}
@@ -105,20 +105,20 @@
 	defer hs.Close()
 	ctx, now := context.Background(), clock.NewFake(time.Unix(1_800_000_000, 0))
 	table := platform.NewClient(hs.URL, nil)
-	first := &lease.Keeper{Table: table, Clock: now, Name: "lease/x", Holder: "a", TTL: time.Second}
-	second := &lease.Keeper{Table: table, Clock: now, Name: "lease/x", Holder: "b", TTL: time.Second}
-	if _, err := first.Take(ctx, nil); err != nil {
+	first := &lease.Manager{Table: table, Clock: now, Name: "lease/x", Holder: "a", TTL: time.Second}
+	second := &lease.Manager{Table: table, Clock: now, Name: "lease/x", Holder: "b", TTL: time.Second}
+	if _, err := first.Acquire(ctx, nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := first.Renew(ctx, json.RawMessage(`"of a"`)); err != nil {
 		t.Fatal(err)
 	}
-	_, err := second.Take(ctx, nil)
+	_, err := second.Acquire(ctx, nil)
 	now.Advance(2 * time.Second)
 	if err == nil {
 		t.Fatal("two hold the lease")
 	}
-	if _, err := second.Take(ctx, json.RawMessage(`"of b"`)); err != nil {
+	if _, err := second.Acquire(ctx, json.RawMessage(`"of b"`)); err != nil {
 		t.Fatal(err)
 	}
 	if err := second.Release(ctx); err != nil {
@@ -127,7 +127,7 @@
 	if _, err := first.Renew(ctx, json.RawMessage(`"of a"`)); !errors.Is(err, lease.ErrHeld) {
 		t.Fatalf("renewed after another has held it: %v", err)
 	}
-	held, err := first.Take(ctx, nil)
+	held, err := first.Acquire(ctx, nil)
 	if err != nil || string(held.Data) != `"of b"` {
 		t.Fatalf("taken again with %s, %v; want what b left", held.Data, err)
 	}
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -47,7 +47,7 @@
 // Member is an instance as its row tells it.
 type Member struct {
 	Name    string `json:"-"`
-	Start   string `json:"-"`       // the holder of the row: one for each start of the instance
+	StartID string `json:"-"`       // the holder of the row: one for each start of the instance
 	Address string `json:"address"` // where callers connect
 	// PeerAddress is where other instances connect; empty for nowhere.
 	PeerAddress string `json:"peer_address,omitempty"`
@@ -59,26 +59,26 @@
 	// it last wrote its row; 0 for none. Operators read it from the rows; a View does
 	// not tell it, as it changes at all members with each configuration.
 	Configuration uint64 `json:"configuration,omitempty"`
-	// Follows is what it follows the store's tables by, as its row told last: its relay's
+	// WatchSource is what it follows the store's tables by, as its row told last: its relay's
 	// address, or that it reads them itself. Operators read it, as Configuration.
-	Follows string `json:"follows,omitempty"`
-	// Prompt means that the row is renewed so often that callers may be told of
+	WatchSource string `json:"follows,omitempty"`
+	// Advertisable means that the row is renewed so often that callers may be told of
 	// the member.
-	Prompt bool `json:"-"`
+	Advertisable bool `json:"-"`
 }
 
-// Duty is what others rely on a member for, from little to much.
-type Duty int
+// Role is what others rely on a member for, from little to much.
+type Role int
 
 // The duties of a member.
 const (
-	Idle  Duty = iota
-	Told       // callers are told of it, or soon may be
-	Owner      // it owns work
+	Idle       Role = iota
+	Advertised      // callers are told of it, or soon may be
+	Owner           // it owns work
 )
 
-// Start returns what identifies one start of the instance named name.
-func Start(name string, at time.Time) string { return fmt.Sprintf("%s#%d", name, at.UnixNano()) }
+// StartID returns what identifies one start of the instance named name.
+func StartID(name string, at time.Time) string { return fmt.Sprintf("%s#%d", name, at.UnixNano()) }
 
 // NameOf returns the name of the instance that start is one of.
 func NameOf(start string) string {
@@ -86,13 +86,13 @@
 	return name
 }
 
-// Period returns how often a member renews its row when there are n of them.
-func Period(n int, d Duty) time.Duration {
+// RenewalPeriod returns how often a member renews its row when there are n of them.
+func RenewalPeriod(n int, d Role) time.Duration {
 	idle := max(minPeriod, time.Duration(n)*time.Second/renewals)
 	switch d {
 	case Owner:
 		return minPeriod
-	case Told:
+	case Advertised:
 		return min(idle, toldPeriod)
 	}
 	return idle
@@ -203,7 +203,7 @@
 	if err := json.Unmarshal(l.Data, &m); err != nil {
 		return Member{}, fmt.Errorf("membership: %s: %w", key, err)
 	}
-	m.Name, m.Start = strings.TrimPrefix(key, Prefix()), l.Holder
+	m.Name, m.StartID = strings.TrimPrefix(key, Prefix()), l.Holder
 	return m, nil
 }
 
@@ -220,14 +220,14 @@
 	}
 	s := &seen{data: l.Data, version: row.Version, ttl: l.TTL(TTL(minPeriod)), changedAt: at}
 	prompt := s.ttl <= TTL(toldPeriod)
-	if old != nil && old.Start == l.Holder && old.Prompt == prompt && bytes.Equal(old.data, l.Data) {
+	if old != nil && old.StartID == l.Holder && old.Advertisable == prompt && bytes.Equal(old.data, l.Data) {
 		s.Member = old.Member
 	} else {
 		m, err := decodeMember(row.Key, l)
 		if err != nil {
 			return err
 		}
-		m.Configuration, m.Follows, m.Prompt = 0, "", prompt
+		m.Configuration, m.WatchSource, m.Advertisable = 0, "", prompt
 		s.Member = old.same(m)
 	}
 	if old != nil && old.lapsed && old.version == row.Version {
@@ -240,10 +240,10 @@
 	return nil
 }
 
-// Excuse takes the rows of the members that were there at since for changed at
+// ExtendAfterOutage takes the rows of the members that were there at since for changed at
 // at: the table could not be read from since to at, so that they could have
 // renewed them unseen, or could not renew them.
-func (v *View) Excuse(since, at time.Time) {
+func (v *View) ExtendAfterOutage(since, at time.Time) {
 	v.changed = true
 	for _, s := range v.members {
 		if since.Sub(s.changedAt) < s.ttl && s.changedAt.Before(at) {
@@ -267,9 +267,9 @@
 // to be told for much longer than four seconds of a member that has gone.
 const currentFor = 3 * time.Second
 
-// Lapsed returns the names of members whose rows have stood unchanged for so
+// UnchangedFor returns the names of members whose rows have stood unchanged for so
 // long that they can be deleted.
-func (v *View) Lapsed(now time.Time, after time.Duration) []string {
+func (v *View) UnchangedFor(now time.Time, after time.Duration) []string {
 	var out []string
 	for name, s := range v.members {
 		if now.Sub(s.changedAt) > after {
@@ -283,10 +283,10 @@
 // Size returns how many rows there are.
 func (v *View) Size() int { return len(v.members) }
 
-// StartOf returns the start that the row of the instance named name tells.
-func (v *View) StartOf(name string) (start string, ok bool) {
+// StartIDOf returns the start that the row of the instance named name tells.
+func (v *View) StartIDOf(name string) (start string, ok bool) {
 	if s := v.members[name]; s != nil {
-		return s.Start, true
+		return s.StartID, true
 	}
 	return "", false
 }
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -81,7 +81,7 @@
 	}
 	away := now
 	now = now.Add(time.Minute)
-	v.Excuse(away, now)
+	v.ExtendAfterOutage(away, now)
 	if got := names(v.Live(now, "a")); got != "ab" {
 		t.Fatalf("live: %s, want ab", got)
 	}
@@ -90,17 +90,17 @@
 // However many members there are, their renewals together are bounded.
 func TestRenewalsAreBounded(t *testing.T) {
 	for _, n := range []int{1, 11, 84, 370} {
-		if rate := float64(n) / membership.Period(n, membership.Idle).Seconds(); rate > 41 {
+		if rate := float64(n) / membership.RenewalPeriod(n, membership.Idle).Seconds(); rate > 41 {
 			t.Errorf("%d members renew %.0f times a second", n, rate)
 		}
 	}
-	if ttl := membership.TTL(membership.Period(370, membership.Owner)); ttl > 2500*time.Millisecond {
+	if ttl := membership.TTL(membership.RenewalPeriod(370, membership.Owner)); ttl > 2500*time.Millisecond {
 		t.Errorf("an owner among 370 is missed after %v", ttl)
 	}
 }
 
-func ExampleStart() {
-	start := membership.Start("edge-1", time.Unix(0, 7))
+func ExampleStartID() {
+	start := membership.StartID("edge-1", time.Unix(0, 7))
 	fmt.Println(start, membership.NameOf(start))
 	// Output: edge-1#7 edge-1
 }
--- a/pkg/membership/relayed.go
+++ b/pkg/membership/relayed.go
@@ -11,30 +11,30 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// Relayed is what an instance that reads the members' rows tells of a member to one that
+// RelayedMember is what an instance that reads the members' rows tells of a member to one that
 // does not. Who is told sees no renewals, and leaves it to the other to judge which
 // rows have stood for too long.
-type Relayed struct {
+type RelayedMember struct {
 	Member
-	Start  string `json:"start"`
-	Prompt bool   `json:"prompt,omitempty"`
-	// Lapsed means that the member is taken for gone; Version is that of its row then.
-	Lapsed  bool   `json:"lapsed,omitempty"`
+	StartID      string `json:"start"`
+	Advertisable bool   `json:"prompt,omitempty"`
+	// Stale means that the member is taken for gone; Version is that of its row then.
+	Stale   bool   `json:"lapsed,omitempty"`
 	Version uint64 `json:"version,omitempty"`
 }
 
 // Encode returns t as a value that ApplyRelayed reads.
-func (t Relayed) Encode() (json.RawMessage, error) { return json.Marshal(t) }
+func (t RelayedMember) Encode() (json.RawMessage, error) { return json.Marshal(t) }
 
-// Relay returns what the view tells of all members at now, in no order, as seen by the
+// RelayedMembers returns what the view tells of all members at now, in no order, as seen by the
 // one named self.
-func (v *View) Relay(now time.Time, self string) []Relayed {
+func (v *View) RelayedMembers(now time.Time, self string) []RelayedMember {
 	live := v.Roster(now, self)
-	out := make([]Relayed, 0, len(v.members))
+	out := make([]RelayedMember, 0, len(v.members))
 	for _, s := range v.members {
-		t := Relayed{Member: *s.Member, Start: s.Start, Prompt: s.Prompt}
-		if !live.HasStart(s.Start) {
-			t.Lapsed, t.Version = true, s.version
+		t := RelayedMember{Member: *s.Member, StartID: s.StartID, Advertisable: s.Advertisable}
+		if !live.HasStartID(s.StartID) {
+			t.Stale, t.Version = true, s.version
 		}
 		out = append(out, t)
 	}
@@ -54,13 +54,13 @@
 			v.remove(name)
 			continue
 		}
-		var t Relayed
+		var t RelayedMember
 		if err := json.Unmarshal(ch.Value, &t); err != nil {
 			first = errors.Join(first, fmt.Errorf("membership: told of %s: %w", name, err))
 			continue
 		}
-		t.Member.Name, t.Member.Start, t.Member.Prompt = name, t.Start, t.Prompt
-		v.set(name, &seen{Member: v.members[name].same(t.Member), told: true, lapsed: t.Lapsed, version: t.Version, ttl: forever, changedAt: at})
+		t.Member.Name, t.Member.StartID, t.Member.Advertisable = name, t.StartID, t.Advertisable
+		v.set(name, &seen{Member: v.members[name].same(t.Member), told: true, lapsed: t.Stale, version: t.Version, ttl: forever, changedAt: at})
 	}
 	return first
 }
--- a/pkg/membership/roster.go
+++ b/pkg/membership/roster.go
@@ -21,10 +21,10 @@
 
 func byName(a, b *Member) int { return cmp.Compare(a.Name, b.Name) }
 
-// HasStart reports whether the instance with the start given is live.
-func (r *Roster) HasStart(start string) bool {
+// HasStartID reports whether the instance with the start given is live.
+func (r *Roster) HasStartID(start string) bool {
 	i, found := r.find(NameOf(start))
-	return found && r.Members[i].Start == start
+	return found && r.Members[i].StartID == start
 }
 
 // Member returns the live member named name, if there is one.
--- a/pkg/membership/roster_test.go
+++ b/pkg/membership/roster_test.go
@@ -41,7 +41,7 @@
 				happen(func(v *membership.View) { apply(v, at, false, ch) })
 			case "excuse":
 				since := now.Add(-2 * time.Second)
-				happen(func(v *membership.View) { v.Excuse(since, at) })
+				happen(func(v *membership.View) { v.ExtendAfterOutage(since, at) })
 			case "read again":
 				ch := drawnRow(t, name, version, now)
 				happen(func(v *membership.View) { apply(v, at, true, ch) })
@@ -118,7 +118,7 @@
 func TestConfigurationsLeaveTheRoster(t *testing.T) {
 	v, now := membership.NewView(), time.Unix(1_800_000_000, 0)
 	put := func(name string, configuration, version uint64) {
-		data, err := json.Marshal(membership.Member{Address: name + ":1", Configuration: configuration, Follows: fmt.Sprintf("relay%d", configuration)})
+		data, err := json.Marshal(membership.Member{Address: name + ":1", Configuration: configuration, WatchSource: fmt.Sprintf("relay%d", configuration)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -163,7 +163,7 @@
 				apply(reader, now, false, platform.Change{Row: platform.Row{Key: membership.Key(name)}, Deleted: true})
 			}
 			var changes []platform.Change
-			for _, m := range reader.Relay(now, "a") {
+			for _, m := range reader.RelayedMembers(now, "a") {
 				value, err := m.Encode()
 				if err != nil {
 					t.Fatal(err)
@@ -183,8 +183,8 @@
 		}
 		// It reads the rows itself from now on: those that had lapsed stay so.
 		lapsed := map[string]bool{}
-		for _, m := range reader.Relay(now, "a") {
-			lapsed[m.Name] = m.Lapsed
+		for _, m := range reader.RelayedMembers(now, "a") {
+			lapsed[m.Name] = m.Stale
 		}
 		var all []platform.Change
 		for _, r := range rows {
--- a/pkg/node/addresses.go
+++ b/pkg/node/addresses.go
@@ -36,7 +36,9 @@
 	if st == nil || !n.membersCurrent.Load() {
 		return n.ownAddress()
 	}
-	out := toldAddresses(st.callers(), func(m *membership.Member) bool { return m.Name == n.cfg.Name && (!n.Ready() || n.cfg.Reach.Lost()) })
+	out := toldAddresses(st.callers(), func(m *membership.Member) bool {
+		return m.Name == n.cfg.Name && (!n.Ready() || n.cfg.StoreReachability.Unreachable())
+	})
 	if len(out) == 0 {
 		return n.ownAddress()
 	}
@@ -57,8 +59,8 @@
 func toldAddresses(ranked []*membership.Member, except func(*membership.Member) bool) []string {
 	count := toldCount(len(ranked))
 	able := slices.DeleteFunc(slices.Clone(ranked), except)
-	if slices.ContainsFunc(able, func(m *membership.Member) bool { return m.Prompt }) {
-		able = slices.DeleteFunc(able, func(m *membership.Member) bool { return !m.Prompt })
+	if slices.ContainsFunc(able, func(m *membership.Member) bool { return m.Advertisable }) {
+		able = slices.DeleteFunc(able, func(m *membership.Member) bool { return !m.Advertisable })
 	}
 	var out []string
 	for _, m := range able[:min(count, len(able))] {
@@ -80,12 +82,12 @@
 }
 
 // duty returns what others rely on this instance for.
-func (n *Node) duty() membership.Duty {
+func (n *Node) duty() membership.Role {
 	if n.readers.owning() > 0 {
 		return membership.Owner
 	}
-	if st := n.standing.Load(); n.follower.Relays() || st != nil && st.standby() {
-		return membership.Told
+	if st := n.standing.Load(); n.follower.IsRelay() || st != nil && st.standby() {
+		return membership.Advertised
 	}
 	return membership.Idle
 }
@@ -101,5 +103,5 @@
 		return false
 	}
 	callers := able(r.Members)
-	return route.BeforeWeighted(callers, memberName, memberCores, ownerKey(callersHead), self) < standbyCount(len(callers))
+	return route.WeightedRankOf(callers, memberName, memberCores, ownerKey(callersHead), self) < standbyCount(len(callers))
 }
--- a/pkg/node/addresses_test.go
+++ b/pkg/node/addresses_test.go
@@ -61,9 +61,9 @@
 		for name, at := range f.next {
 			duty := membership.Idle
 			if f.standbys[name] {
-				duty = membership.Told
+				duty = membership.Advertised
 			}
-			period := membership.Period(f.size, duty)
+			period := membership.RenewalPeriod(f.size, duty)
 			if f.now.Before(at) && at.Sub(f.now) <= period {
 				continue
 			}
@@ -90,7 +90,7 @@
 }
 
 func (f *fleet) told() []string {
-	return node.ToldAddresses(f.live(), func(*membership.Member) bool { return false })
+	return node.AdvertisedAddresses(f.live(), func(*membership.Member) bool { return false })
 }
 
 // Whatever part of a site loses power at once, of 10, 90 or 370 instances, callers
@@ -152,14 +152,14 @@
 	const slowCall = 300 * time.Millisecond // 60 times 5 ms
 	for _, members := range []int{10, 100, 370, 1000} {
 		f := newFleet(t, 2)
-		f.renew("n001", membership.Period(members, membership.Idle))
+		f.renew("n001", membership.RenewalPeriod(members, membership.Idle))
 		for range 20 {
-			f.renew("n000", membership.Period(members, membership.Owner))
-			f.now = f.now.Add(node.MembersPause(members) + slowCall) // the next read, in which it has renewed
+			f.renew("n000", membership.RenewalPeriod(members, membership.Owner))
+			f.now = f.now.Add(node.MembersReadInterval(members) + slowCall) // the next read, in which it has renewed
 			if live := f.view.Live(f.now, "n001"); len(live) != 2 {
-				t.Fatalf("among %d members an owner is taken for gone after %v without a read", members, node.MembersPause(members)+slowCall)
+				t.Fatalf("among %d members an owner is taken for gone after %v without a read", members, node.MembersReadInterval(members)+slowCall)
 			}
-			f.renew("n001", membership.Period(members, membership.Idle))
+			f.renew("n001", membership.RenewalPeriod(members, membership.Idle))
 		}
 	}
 }
--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return customer.Customer{}, err
 	}
-	if key == "" && t.OpenTo(host, routetable.Submissions) {
+	if key == "" && t.HasPublicRoute(host, routetable.Submissions) {
 		return customer.Customer{}, nil
 	}
 	return n.identify(t, key)
@@ -63,7 +63,7 @@
 	if t.Customers == nil {
 		return customer.Customer{}, nil
 	}
-	c, ok := t.Customers.Find(key)
+	c, ok := t.Customers.FindByKey(key)
 	if !ok {
 		n.observer.count("rejections.no_key")
 		n.observer.line(n.observer.failures, true, "no customer has the caller's key", "given", key != "", "configuration", t.Version)
@@ -98,13 +98,13 @@
 	if t == nil || name == "" {
 		return option.Of[int]{}
 	}
-	c, _ := t.Customers.Named(name)
+	c, _ := t.Customers.FindByName(name)
 	return c.Priority
 }
 
 // kept returns nil if o is the submission s, or a *verdict.Error if it is another
 // customer's that has its ID.
-func kept(o submission.Owned, s submission.Spec) error {
+func kept(o submission.HeadRow, s submission.Spec) error {
 	if !o.BelongsTo(s.Customer) {
 		return verdict.New(verdict.NotRun, http.StatusConflict, errAnothers)
 	}
--- a/pkg/node/adopt.go
+++ b/pkg/node/adopt.go
@@ -19,7 +19,7 @@
 	live := s.members.Roster(now, s.name)
 	var effs []effect
 	for id, o := range s.heads {
-		theirs := live.HasStart(o.Owner) && o.Owner != s.start
+		theirs := live.HasStartID(o.Owner) && o.Owner != s.start
 		if !o.Open() || s.running[id] || theirs && o.Claimed {
 			delete(s.orphans, id)
 			continue
@@ -40,13 +40,13 @@
 
 // patience is how long this instance leaves an orphan to others. live says that
 // its owner is among the members, but has not claimed it.
-func (s *state) patience(o submission.Owned, live bool, members *membership.Roster) time.Duration {
+func (s *state) patience(o submission.HeadRow, live bool, members *membership.Roster) time.Duration {
 	name := membership.NameOf(o.Owner)
 	if name == s.name {
 		return 0 // this start, or an earlier one of the same instance
 	}
 	wait := s.rank(o, members)
-	_, known := s.members.StartOf(name)
+	_, known := s.members.StartIDOf(name)
 	switch {
 	case live:
 		return claimPatience + wait
@@ -57,13 +57,13 @@
 }
 
 // rank is how long this instance leaves an orphan to those before it in rank.
-func (s *state) rank(o submission.Owned, members *membership.Roster) time.Duration {
+func (s *state) rank(o submission.HeadRow, members *membership.Roster) time.Duration {
 	i := 0
 	for _, m := range s.ranks.owners(members, o.Head) {
 		if m.Name == s.name {
 			break
 		}
-		if m.Start != o.Owner {
+		if m.StartID != o.Owner {
 			i++
 		}
 	}
--- a/pkg/node/audit.go
+++ b/pkg/node/audit.go
@@ -28,14 +28,14 @@
 	auditPause = time.Second
 )
 
-// Change is a change of the configuration, as the audit trail keeps it: the first
+// AuditRecord is a change of the configuration, as the audit trail keeps it: the first
 // instance that wrote of a version tells.
-type Change struct {
-	Version uint64    `json:"version"`
-	Before  uint64    `json:"before"` // version in force there before; 0 for none
-	SeenAt  time.Time `json:"seen_at"`
-	SeenBy  string    `json:"seen_by"` // instance
-	Routes  int       `json:"routes"`
+type AuditRecord struct {
+	Version         uint64    `json:"version"`
+	PreviousVersion uint64    `json:"before"` // version in force there before; 0 for none
+	SeenAt          time.Time `json:"seen_at"`
+	SeenBy          string    `json:"seen_by"` // instance
+	Routes          int       `json:"routes"`
 	routetable.Diff
 }
 
@@ -44,9 +44,9 @@
 
 // record writes down that t came into force, to be written to the audit trail.
 func (s *state) record(t *routetable.Table, at time.Time) {
-	c := Change{Version: t.Version, SeenAt: at, SeenBy: s.name, Routes: t.Routes(), Diff: t.Compare(s.table)}
+	c := AuditRecord{Version: t.Version, SeenAt: at, SeenBy: s.name, Routes: t.RouteCount(), Diff: t.Compare(s.table)}
 	if s.table != nil {
-		c.Before = s.table.Version
+		c.PreviousVersion = s.table.Version
 	}
 	s.table, s.unwritten = t, append(s.unwritten, c)
 }
@@ -65,7 +65,7 @@
 	return []effect{writeAudit{changes}}
 }
 
-type writeAudit struct{ changes []Change }
+type writeAudit struct{ changes []AuditRecord }
 
 func (e writeAudit) carryOut(ctx context.Context, n *Node) {
 	n.group.Go(func() error {
@@ -79,7 +79,7 @@
 }
 
 // writeChange writes c, unless another instance has.
-func (n *Node) writeChange(ctx context.Context, c Change) error {
+func (n *Node) writeChange(ctx context.Context, c AuditRecord) error {
 	op, err := platform.Put(auditKey(c.Version), 0, c)
 	if err != nil {
 		return err
--- a/pkg/node/dealer.go
+++ b/pkg/node/dealer.go
@@ -55,10 +55,10 @@
 	parts := map[string][]string{}
 	for _, pool := range t.Pools {
 		if len(pool.Models) > 0 {
-			ids, _ := n.registry.Staying(pool.Name)
-			maps.Copy(parts, weights.Partition(ids, ofPool(pool, demands)))
+			ids, _ := n.registry.NonDraining(pool.Name)
+			maps.Copy(parts, weights.AssignEngines(ids, ofPool(pool, demands)))
 		}
 	}
-	n.registry.SetParts(parts)
+	n.registry.SetAssignments(parts)
 	return true
 }
--- a/pkg/node/dealer_test.go
+++ b/pkg/node/dealer_test.go
@@ -12,26 +12,26 @@
 func TestIdleInstanceDealsWhenNeeded(t *testing.T) {
 	busy, possible, deals := false, false, 0
 	var last []weights.Demand
-	d := node.NewDealer(func() bool { return busy }, func(ds []weights.Demand) bool {
+	d := node.NewAssigner(func() bool { return busy }, func(ds []weights.Demand) bool {
 		if possible {
 			deals, last = deals+1, ds
 		}
 		return possible
 	})
-	want := func(n int) { d.Want([]weights.Demand{{Model: "m", Items: n}}) }
+	want := func(n int) { d.SetDemands([]weights.Demand{{Model: "m", MaxItems: n}}) }
 	for i := range 100 {
 		want(i)
 	}
-	d.Need() // no configuration is in force yet
+	d.EnsureCurrent() // no configuration is in force yet
 	possible = true
-	if d.Need(); deals != 1 || last[0].Items != 99 {
+	if d.EnsureCurrent(); deals != 1 || last[0].MaxItems != 99 {
 		t.Fatalf("%d deals, the last by %v", deals, last)
 	}
-	if d.Need(); deals != 1 {
+	if d.EnsureCurrent(); deals != 1 {
 		t.Fatalf("%d deals though nothing has changed", deals)
 	}
 	busy = true
-	if want(100); deals != 2 || last[0].Items != 100 {
+	if want(100); deals != 2 || last[0].MaxItems != 100 {
 		t.Fatalf("%d deals, the last by %v", deals, last)
 	}
 }
--- a/pkg/node/demand.go
+++ b/pkg/node/demand.go
@@ -15,9 +15,9 @@
 func (s *state) learnWork(h submission.Head) {
 	mean, ok := s.work[h.Model]
 	if !ok {
-		mean = float64(h.Work)
+		mean = float64(h.EstimatedLength)
 	}
-	s.work[h.Model] = mean + workWeight*(float64(h.Work)-mean)
+	s.work[h.Model] = mean + workWeight*(float64(h.EstimatedLength)-mean)
 }
 
 // openItems returns how many texts the open submissions hold, by pool.
@@ -54,7 +54,7 @@
 	items := s.itemsAtOnce()
 	var out []weights.Demand
 	for _, m := range slices.Sorted(maps.Keys(models)) {
-		out = append(out, weights.Demand{Model: m, Named: s.named[m], Lag: s.lag[m], Work: s.dealt[m], Busy: busy[m], Items: items[m]})
+		out = append(out, weights.Demand{Model: m, TargetVersion: s.named[m], MaxLag: s.lag[m], Work: s.dealt[m], Busy: busy[m], MaxItems: items[m]})
 	}
 	return out
 }
--- a/pkg/node/duties.go
+++ b/pkg/node/duties.go
@@ -10,18 +10,18 @@
 	"github.com/zinnialadder/zinnialadder/pkg/usage"
 )
 
-// Cloud takes the calls that one instance at a time makes for the whole site. Each
+// CloudProvider takes the calls that one instance at a time makes for the whole site. Each
 // bears the holder's name and a fencing token, that of the lease as it was last
 // renewed, so that a call that is carried out late, after newer ones, is refused
 // where tokens are checked. Its errors are ErrFenced, ErrNoEngines, or others, after
 // which the call may have been carried out or may be later.
-type Cloud interface {
-	ReportUsage(ctx context.Context, h Holder, r usage.Report) error
-	OrderEngines(ctx context.Context, h Holder, o scaling.Order) error
+type CloudProvider interface {
+	ReportUsage(ctx context.Context, h LeaseHolder, r usage.Report) error
+	OrderEngines(ctx context.Context, h LeaseHolder, o scaling.Order) error
 }
 
-// Holder is the instance that makes a call, and its fencing token.
-type Holder struct {
+// LeaseHolder is the instance that makes a call, and its fencing token.
+type LeaseHolder struct {
 	Name    string
 	Fencing uint64
 }
@@ -45,15 +45,15 @@
 type duties struct {
 	node    *Node
 	ledger  usage.Ledger
-	billing usage.Billing
+	billing usage.Reporter
 	since   time.Time // when the lease was taken under which work is done; zero for none
-	plans   map[string]*scaling.Plan
+	plans   map[string]*scaling.Planner
 	wake    clock.Wakeup // the lease was taken, or lost
 }
 
 func newDuties(n *Node) *duties {
-	return &duties{node: n, ledger: usage.Ledger{Store: n.cfg.Store}, billing: usage.Billing{Calendar: n.cfg.Calendar},
-		plans: map[string]*scaling.Plan{}, wake: clock.NewWakeup()}
+	return &duties{node: n, ledger: usage.Ledger{Store: n.cfg.Store}, billing: usage.Reporter{Schedule: n.cfg.Calendar},
+		plans: map[string]*scaling.Planner{}, wake: clock.NewWakeup()}
 }
 
 // dutyIdle is how often an instance that holds nothing looks whether it does; it is
@@ -62,7 +62,7 @@
 
 // keep does what is due until ctx ends.
 func (d *duties) keep(ctx context.Context) error {
-	if d.node.cfg.Cloud == nil {
+	if d.node.cfg.CloudProvider == nil {
 		return nil
 	}
 	for ctx.Err() == nil {
@@ -80,7 +80,7 @@
 // until then: holders must not take turns within the lease time.
 func (d *duties) work(ctx context.Context, since time.Time) {
 	now := time.Now()
-	if now.Sub(since) < d.node.cfg.LeaseTime || d.node.draining.Load() {
+	if now.Sub(since) < d.node.cfg.MinHolderInterval || d.node.draining.Load() {
 		return
 	}
 	if !d.since.Equal(since) && !d.begin(ctx, since, now) {
@@ -100,8 +100,8 @@
 		n.cfg.Logger.Warn("reports of use not read", "err", err)
 		return false
 	}
-	d.billing.Begin(left, n.begunAt, now)
-	d.plans = map[string]*scaling.Plan{}
+	d.billing.Restore(left, n.begunAt, now)
+	d.plans = map[string]*scaling.Planner{}
 	d.since = since
 	n.cfg.Logger.Info("duties taken up", "fencing", n.orders.current().Fencing, "reports", len(left))
 	return true
@@ -109,7 +109,7 @@
 
 // bill closes the windows whose time has come, and sends what is fixed.
 func (d *duties) bill(ctx context.Context) {
-	if d.billing.Calendar.Length <= 0 {
+	if d.billing.Schedule.Length <= 0 {
 		return
 	}
 	for ctx.Err() == nil {
@@ -134,11 +134,11 @@
 	sum, err := d.ledger.Sum(cctx, w)
 	if err == nil {
 		var r usage.Report
-		r, err = d.ledger.Fix(cctx, usage.Report{Window: w, Counts: sum.Counts, FixedAt: time.Now().UTC().Round(0), FixedBy: n.start, Tallies: len(sum.Rows)})
+		r, err = d.ledger.Finalize(cctx, usage.Report{Window: w, Counts: sum.Counts, FinalizedAt: time.Now().UTC().Round(0), FinalizedBy: n.start, Tallies: len(sum.Rows)})
 		if err == nil {
-			d.billing.Fixed(r)
-			n.cfg.Logger.Info("use added up", "window", w, "ended", d.billing.Calendar.Ends(w), "customers", len(r.Counts), "tallies", r.Tallies, "fixed_by", r.FixedBy)
-			old := d.billing.ToSweep()
+			d.billing.Finalized(r)
+			n.cfg.Logger.Info("use added up", "window", w, "ended", d.billing.Schedule.End(w), "customers", len(r.Counts), "tallies", r.Tallies, "fixed_by", r.FinalizedBy)
+			old := d.billing.ToDelete()
 			n.group.Go(func() error {
 				d.sweep(ctx, sum, old)
 				return nil
@@ -155,7 +155,7 @@
 func (d *duties) sweep(ctx context.Context, sum usage.Sum, old []usage.Report) {
 	ctx, cancel := context.WithTimeout(ctx, storeTime)
 	defer cancel()
-	if err := errors.Join(d.ledger.Sweep(ctx, sum.Rows), d.ledger.SweepReports(ctx, old)); err != nil {
+	if err := errors.Join(d.ledger.DeleteTallies(ctx, sum.Rows), d.ledger.DeleteReports(ctx, old)); err != nil {
 		d.node.cfg.Logger.Debug("counts of use not swept", "err", err)
 	}
 }
@@ -163,10 +163,10 @@
 // send sends a report, and reports whether it was accepted.
 func (d *duties) send(ctx context.Context, r usage.Report) bool {
 	n := d.node
-	err := d.call(ctx, func(ctx context.Context, h Holder) error { return n.cfg.Cloud.ReportUsage(ctx, h, r) })
+	err := d.call(ctx, func(ctx context.Context, h LeaseHolder) error { return n.cfg.CloudProvider.ReportUsage(ctx, h, r) })
 	now := time.Now()
-	d.billing.Sent(r, err == nil, now)
-	late := now.After(d.billing.Calendar.Due(r.Window))
+	d.billing.SendEnded(r, err == nil, now)
+	late := now.After(d.billing.Schedule.Due(r.Window))
 	if err != nil {
 		n.observer.count("duties.usage.not_sent")
 		n.cfg.Logger.Warn("use not reported", "window", r.Window, "late", late, "err", err)
@@ -180,7 +180,7 @@
 	n.group.Go(func() error {
 		sctx, cancel := context.WithTimeout(ctx, storeTime)
 		defer cancel()
-		if err := d.ledger.Sent(sctx, r, now.UTC().Round(0)); err != nil {
+		if err := d.ledger.MarkSent(sctx, r, now.UTC().Round(0)); err != nil {
 			n.cfg.Logger.Debug("report not marked as sent", "window", r.Window, "err", err)
 		}
 		return nil
@@ -191,7 +191,7 @@
 // call makes a call to the cloud under the lease as it is held now. If it was lost and
 // taken again since work began, another may have acted meanwhile, and nothing is sent. A
 // refusal for another's fencing token ends the holding.
-func (d *duties) call(ctx context.Context, f func(context.Context, Holder) error) error {
+func (d *duties) call(ctx context.Context, f func(context.Context, LeaseHolder) error) error {
 	n := d.node
 	held := n.orders.current()
 	if held.Fencing == 0 || !n.orders.heldSince().Equal(d.since) || !time.Now().Before(orderUntil(held).Add(-orderMargin)) {
@@ -200,7 +200,7 @@
 	cctx, cancel := context.WithTimeout(ctx, dutyCall)
 	defer cancel()
 	begun := time.Now()
-	err := f(cctx, Holder{Name: n.cfg.Name, Fencing: held.Fencing})
+	err := f(cctx, LeaseHolder{Name: n.cfg.Name, Fencing: held.Fencing})
 	n.observer.time("duties.calls", time.Since(begun))
 	if errors.Is(err, ErrFenced) {
 		n.cfg.Logger.Warn("duties lost to another holder", "fencing", held.Fencing)
@@ -223,34 +223,34 @@
 		}
 		plan := d.plans[pool.Name]
 		if plan == nil {
-			plan = &scaling.Plan{}
+			plan = &scaling.Planner{}
 			d.plans[pool.Name] = plan
 		}
-		s := scaling.Seen{At: time.Now(), Engines: map[scaling.Place]int{}, Items: (*items)[pool.Name]}
+		s := scaling.PoolState{At: time.Now(), Engines: map[scaling.Placement]int{}, Items: (*items)[pool.Name]}
 		for _, e := range n.registry.Entries(pool.Name) {
 			if !e.Draining {
-				s.Engines[scaling.Place{DataCentre: e.DataCentre, Spot: e.Spot}]++
+				s.Engines[scaling.Placement{DataCentre: e.DataCentre, Spot: e.Spot}]++
 			}
 		}
-		terms := scaling.Terms{Scaling: pool.Scaling, Slots: pool.Slots}
+		terms := scaling.Limits{Scaling: pool.Scaling, Slots: pool.Slots}
 		for _, o := range plan.Decide(pool.Name, terms, s) {
-			d.order(ctx, plan, o, s.Engines[o.Place])
+			d.order(ctx, plan, o, s.Engines[o.Placement])
 		}
 	}
 }
 
 // order gives one order for engines of a place where there are some.
-func (d *duties) order(ctx context.Context, plan *scaling.Plan, o scaling.Order, there int) {
+func (d *duties) order(ctx context.Context, plan *scaling.Planner, o scaling.Order, there int) {
 	n := d.node
-	err := d.call(ctx, func(ctx context.Context, h Holder) error { return n.cfg.Cloud.OrderEngines(ctx, h, o) })
+	err := d.call(ctx, func(ctx context.Context, h LeaseHolder) error { return n.cfg.CloudProvider.OrderEngines(ctx, h, o) })
 	outcome := scaling.Unknown
 	switch {
 	case err == nil:
 		outcome = scaling.Accepted
 	case errors.Is(err, ErrNoEngines):
-		outcome = scaling.None
+		outcome = scaling.NoCapacity
 	}
-	plan.Ordered(o, outcome, there, time.Now())
+	plan.RecordOutcome(o, outcome, there, time.Now())
 	n.observer.count("duties.engines.ordered")
 	n.cfg.Logger.Info("engines ordered", "pool", o.Pool, "data_centre", o.DataCentre, "spot", o.Spot, "engines", o.Engines, "err", err)
 }
--- a/pkg/node/effects.go
+++ b/pkg/node/effects.go
@@ -42,7 +42,7 @@
 		// current means that callers may be told of live.
 		current bool
 	}
-	setHead     struct{ submission.Owned }
+	setHead     struct{ submission.HeadRow }
 	becomeReady struct{}
 	reached     struct{ since time.Time } // the store, without a break
 	// setOpenItems tells the texts of open submissions, by pool.
@@ -50,14 +50,14 @@
 	leave        struct{} // tell the others that this instance drains
 
 	startRun struct {
-		submission.Owned
+		submission.HeadRow
 		spec submission.Spec
-		left submission.Left
+		left submission.PriorWork
 	}
 	stopRun    struct{ id string }
-	releaseRun struct{ submission.Owned }
-	adopt      struct{ submission.Owned }
-	sweep      struct{ submission.Owned }
+	releaseRun struct{ submission.HeadRow }
+	adopt      struct{ submission.HeadRow }
+	sweep      struct{ submission.HeadRow }
 	dropHead   struct{ id string }
 
 	// dealEngines deals the engines of each pool to the models.
@@ -77,7 +77,7 @@
 
 func (e setTable) carryOut(_ context.Context, n *Node) {
 	n.table.Store(e.table)
-	n.cfg.Logger.Info("configuration in force", "version", e.table.Version, "routes", e.table.Routes())
+	n.cfg.Logger.Info("configuration in force", "version", e.table.Version, "routes", e.table.RouteCount())
 }
 
 func (e setNamed) carryOut(_ context.Context, n *Node) { n.named.Store(&e.versions) }
@@ -95,7 +95,7 @@
 	n.member.rows.Store(int64(e.rows))
 }
 
-func (e setHead) carryOut(_ context.Context, n *Node) { n.heads.set(e.Owned) }
+func (e setHead) carryOut(_ context.Context, n *Node) { n.heads.set(e.HeadRow) }
 
 func (becomeReady) carryOut(_ context.Context, n *Node) {
 	if n.table.Load() != nil && !n.ready.Swap(true) {
@@ -111,7 +111,7 @@
 func (leave) carryOut(ctx context.Context, n *Node) {
 	n.member.leave()
 	n.group.Go(func() error {
-		if err := n.follower.Leave(ctx); err != nil {
+		if err := n.follower.DisableRelaying(ctx); err != nil {
 			n.cfg.Logger.Debug("slot of a relay not given up", "err", err)
 		}
 		return nil
@@ -120,12 +120,12 @@
 
 func (e startRun) carryOut(ctx context.Context, n *Node) {
 	rctx, cancel := context.WithCancel(ctx)
-	r := submission.NewRunner(n.runnerConfig(), e.Owned, e.spec, e.left)
+	r := submission.NewRunner(n.runnerConfig(), e.HeadRow, e.spec, e.left)
 	run := &ownRun{runner: r, spec: e.spec, cancel: cancel, ended: make(chan struct{})}
 	n.readers.own(e.ID, run)
 	n.dealer.need()
 	n.member.changed()
-	n.cfg.Logger.Info("submission runs", "submission", e.ID, "items", len(e.spec.Items), "listed", len(e.left.Results), "begun", len(e.left.Texts), "fencing", e.Fencing)
+	n.cfg.Logger.Info("submission runs", "submission", e.ID, "items", len(e.spec.Items), "listed", len(e.left.Results), "begun", len(e.left.Partials), "fencing", e.Fencing)
 	n.group.Go(func() error {
 		err := r.Run(rctx)
 		cancel()
@@ -144,7 +144,7 @@
 	if h, _ := n.heads.get(id); err != nil && !h.Ended {
 		return
 	}
-	if err := r.DropProgress(ctx); err != nil {
+	if err := r.DeleteProgress(ctx); err != nil {
 		n.cfg.Logger.Warn("progress not dropped", "submission", id, "err", err)
 	}
 }
@@ -154,7 +154,7 @@
 	n.group.Go(func() error {
 		sctx, cancel := context.WithTimeout(ctx, sweepTime)
 		defer cancel()
-		err := n.log.Sweep(sctx, e.Owned)
+		err := n.log.DeleteSubmission(sctx, e.HeadRow)
 		n.cfg.Logger.Info("submission swept", "submission", e.ID, "err", err)
 		n.tell(ctx, swept{ID: e.ID, Err: err, At: time.Now()})
 		return nil
@@ -181,15 +181,15 @@
 		defer cancel()
 		if run != nil {
 			<-run.ended
-			if err := n.log.PutProgress(rctx, e.Owned, run.runner.Partials()); err != nil {
+			if err := n.log.PutProgress(rctx, e.HeadRow, run.runner.Partials()); err != nil {
 				n.cfg.Logger.Warn("progress not kept", "submission", e.ID, "err", err)
 			}
 		}
-		_, err := n.log.Change(rctx, e.Owned, func(h submission.Head) (submission.Head, bool) {
+		_, err := n.log.UpdateHead(rctx, e.HeadRow, func(h submission.Head) (submission.Head, bool) {
 			if h.Owner != n.start || !h.Open() {
 				return h, false
 			}
-			h.Owner, h.Claimed, h.Progress = "", false, e.Fencing
+			h.Owner, h.Claimed, h.ProgressToken = "", false, e.Fencing
 			return h, true
 		})
 		n.cfg.Logger.Info("submission handed over", "submission", e.ID, "err", err)
@@ -209,8 +209,8 @@
 		actx, cancel := context.WithTimeout(ctx, 2*storeTime)
 		defer cancel()
 		out := adopted{ID: e.ID}
-		if out.Owned, out.Err = n.log.Claim(actx, e.Owned, n.start); out.Err == nil {
-			out.Spec, out.Left, out.Err = n.readLeft(actx, e.Owned)
+		if out.Owned, out.Err = n.log.Claim(actx, e.HeadRow, n.start); out.Err == nil {
+			out.Spec, out.PriorWork, out.Err = n.readLeft(actx, e.HeadRow)
 		}
 		if errors.Is(out.Err, context.Canceled) {
 			return nil
@@ -222,16 +222,16 @@
 }
 
 // readLeft reads what the owners before have left of a submission.
-func (n *Node) readLeft(ctx context.Context, left submission.Owned) (submission.Spec, submission.Left, error) {
+func (n *Node) readLeft(ctx context.Context, left submission.HeadRow) (submission.Spec, submission.PriorWork, error) {
 	var spec submission.Spec
-	var out submission.Left
+	var out submission.PriorWork
 	g, gctx := errgroup.WithContext(ctx)
 	g.Go(func() (err error) {
 		spec, err = n.readers.spec(gctx, left)
 		return err
 	})
 	g.Go(func() (err error) {
-		out, err = n.log.Left(gctx, left)
+		out, err = n.log.PriorWork(gctx, left)
 		return err
 	})
 	return spec, out, g.Wait()
--- a/pkg/node/entries.go
+++ b/pkg/node/entries.go
@@ -73,7 +73,7 @@
 		return
 	}
 	delete(s.missing, id)
-	if !known || !old.SameStart(e) || old.Draining != e.Draining {
+	if !known || !old.SameProcess(e) || old.Draining != e.Draining {
 		c.notes = append(c.notes, upstreamNote{"upstream", []any{"upstream", id, "pool", e.Pool, "address", e.Address, "draining", e.Draining, "born", e.Born}})
 	}
 	if known && old.Equal(e) {
@@ -128,5 +128,5 @@
 	}
 	put := slices.DeleteFunc(c.put, func(e *upstream.Entry) bool { return !there(e.ID) })
 	gone := slices.DeleteFunc(c.gone, there)
-	return append(c.notes, setUpstreams{changes: upstream.Changes{Put: put, Gone: gone}, total: len(s.entries)})
+	return append(c.notes, setUpstreams{changes: upstream.Changes{Updated: put, Removed: gone}, total: len(s.entries)})
 }
--- a/pkg/node/export_test.go
+++ b/pkg/node/export_test.go
@@ -25,11 +25,11 @@
 
 func (s State) Tick(at time.Time) []string { return texts(s.s.reduce(tick{At: at})) }
 
-func (s State) Adopted(o submission.Owned, at time.Time) []string {
+func (s State) TakenOver(o submission.HeadRow, at time.Time) []string {
 	return texts(s.s.reduce(adopted{ID: o.ID, Owned: o, At: at}))
 }
 
-func (s State) RunEnded(o submission.Owned) []string {
+func (s State) RunEnded(o submission.HeadRow) []string {
 	return texts(s.s.reduce(runEnded{ID: o.ID, Head: o}))
 }
 
@@ -67,10 +67,10 @@
 	return out
 }
 
-// ToldAddresses, Standbys and PeersToAsk decide what instances tell callers, which
+// AdvertisedAddresses, Standbys and PeersToAsk decide what instances tell callers, which
 // of them are ready to be told, and whom one asks for the store.
 var (
-	ToldAddresses = func(live []*membership.Member, except func(*membership.Member) bool) []string {
+	AdvertisedAddresses = func(live []*membership.Member, except func(*membership.Member) bool) []string {
 		return toldAddresses(rankedForCallers(live), except)
 	}
 	Standbys = func(live []*membership.Member) []*membership.Member {
@@ -78,8 +78,8 @@
 	}
 	PeersToAsk = peersToAsk
 
-	// MembersPause is the least time between two reads of the members' rows.
-	MembersPause = func(members int) time.Duration { return feedPause(membersPause, members) }
+	// MembersReadInterval is the least time between two reads of the members' rows.
+	MembersReadInterval = func(members int) time.Duration { return feedPause(membersPause, members) }
 )
 
 // OrderLedger is the ledger of orders, for tests.
@@ -95,18 +95,18 @@
 func (l OrderLedger) End(id string, until time.Time)         { l.l.end(id, until) }
 func (l OrderLedger) Entries(now time.Time) []string         { return l.l.entries(now) }
 
-// Items returns how many texts of a model may be under way at once.
-func (s State) Items(model string) int { return s.s.itemsAtOnce()[model] }
+// ConcurrentItems returns how many texts of a model may be under way at once.
+func (s State) ConcurrentItems(model string) int { return s.s.itemsAtOnce()[model] }
 
-// Dealer decides when engines are dealt, for tests.
-type Dealer struct{ d *dealer }
+// Assigner decides when engines are dealt, for tests.
+type Assigner struct{ d *dealer }
 
-func NewDealer(busy func() bool, deal func([]weights.Demand) bool) Dealer {
-	return Dealer{&dealer{busy: busy, deal: deal}}
+func NewAssigner(busy func() bool, deal func([]weights.Demand) bool) Assigner {
+	return Assigner{&dealer{busy: busy, deal: deal}}
 }
 
-func (d Dealer) Want(demands []weights.Demand) { d.d.want(demands) }
-func (d Dealer) Need()                         { d.d.need() }
+func (d Assigner) SetDemands(demands []weights.Demand) { d.d.want(demands) }
+func (d Assigner) EnsureCurrent()                      { d.d.need() }
 
 // IsStandby reports whether an instance finds that it is one of the Standbys.
 func IsStandby(name string, live []*membership.Member) bool {
