--- a/pkg/node/feeds.go
+++ b/pkg/node/feeds.go
@@ -52,22 +52,22 @@
 func newFollower(n *Node) *watch.Follower {
 	d := n.cfg.Decoder
 	return watch.New(watch.Config{
-		Start: n.start, DataCentre: n.cfg.DataCentre, Address: n.cfg.PeerAddress, Cores: n.cfg.Cores, Store: n.cfg.Store, Dial: n.cfg.Dial,
+		StartID: n.start, DataCentre: n.cfg.DataCentre, Address: n.cfg.PeerAddress, Cores: n.cfg.Cores, Store: n.cfg.Store, Dial: n.cfg.Dial,
 		Tables: []watch.TableConfig{
 			{Name: d.OperatorTable, Prefixes: []string{d.OperatorTable + "//"}, Wait: configurationWait, Urgent: true},
 			{Name: d.EntriesTable, Prefixes: []string{d.EntriesTable + "//"}, Wait: entriesWait, Pause: n.pause(entriesPause), RelayPause: relayPause, Digest: d.EntryDigest},
 			{Name: membership.Table, Prefixes: []string{membership.Prefix()}, Wait: membersWait, Pause: n.pause(membersPause), RelayPause: relayPause, Derived: true},
 			{Name: submission.HeadsTable, Prefixes: submission.HeadPrefixes(), Wait: headsWait, Pause: n.headsPause, RelayPause: headsPause},
 		},
-		Crowded: func() bool { return max(n.upstreams.Load(), n.member.rows.Load()) > crowdedRows },
+		UseRelays: func() bool { return max(n.upstreams.Load(), n.member.rows.Load()) > crowdedRows },
 		Live: func(start string) (live, known bool) {
 			st := n.standing.Load()
-			return st != nil && st.roster.HasStart(start), st != nil
+			return st != nil && st.roster.HasStartID(start), st != nil
 		},
-		Tell:    func(ctx context.Context, u feed.Update) { n.tell(ctx, u) },
-		Group:   func(f func() error) { n.group.Go(f) },
-		Draw:    draw,
-		Observe: n.observer.source,
+		OnUpdate: func(ctx context.Context, u feed.Update) { n.tell(ctx, u) },
+		Go:       func(f func() error) { n.group.Go(f) },
+		Rand:     draw,
+		OnEvent:  n.observer.source,
 	})
 }
 
--- a/pkg/node/heads.go
+++ b/pkg/node/heads.go
@@ -10,7 +10,7 @@
 	var effs []effect
 	for _, ch := range u.Changes {
 		if ch.Deleted {
-			effs = append(effs, s.forget(submission.IDOf(ch.Key))...)
+			effs = append(effs, s.forget(submission.IDFromKey(ch.Key))...)
 			continue
 		}
 		h, err := submission.DecodeHead(ch.Row)
@@ -18,12 +18,12 @@
 			effs = append(effs, note{"submission not understood", []any{"row", ch.Key, "err", err}})
 			continue
 		}
-		effs = append(effs, s.setHead(submission.Owned{Head: h, Fencing: ch.Version})...)
+		effs = append(effs, s.setHead(submission.HeadRow{Head: h, Fencing: ch.Version})...)
 	}
 	return effs
 }
 
-func (s *state) setHead(o submission.Owned) []effect {
+func (s *state) setHead(o submission.HeadRow) []effect {
 	old, known := s.heads[o.ID]
 	if known && old.Fencing >= o.Fencing {
 		return nil
@@ -47,12 +47,12 @@
 }
 
 func (s *state) onAccepted(e accepted) []effect {
-	effs := s.setHead(e.Owned)
+	effs := s.setHead(e.HeadRow)
 	if s.draining || s.running[e.ID] || e.Owner != s.start || !e.Claimed || !e.Open() {
 		return effs
 	}
 	s.running[e.ID] = true
-	return append(effs, startRun{e.Owned, e.Spec, submission.Left{}})
+	return append(effs, startRun{e.HeadRow, e.Spec, submission.PriorWork{}})
 }
 
 // onRunEnded takes what a run has left. That its submission is complete comes
@@ -79,5 +79,5 @@
 	if s.draining {
 		return append(effs, releaseRun{e.Owned})
 	}
-	return append(effs, startRun{e.Owned, e.Spec, e.Left})
+	return append(effs, startRun{e.Owned, e.Spec, e.PriorWork})
 }
--- a/pkg/node/member.go
+++ b/pkg/node/member.go
@@ -23,10 +23,10 @@
 
 // changed has the row written at once, as what it tells has changed: that the
 // instance owns work, or drains.
-func (m *memberRow) changed() { m.wake.Ring() }
+func (m *memberRow) changed() { m.wake.Signal() }
 
 func (m *memberRow) period() time.Duration {
-	return membership.Period(int(m.rows.Load()), m.node.duty())
+	return membership.RenewalPeriod(int(m.rows.Load()), m.node.duty())
 }
 
 // leave has the row say at once that the instance drains.
@@ -61,7 +61,7 @@
 func (m *memberRow) write(ctx context.Context, held lease.Lease) lease.Lease {
 	n := m.node
 	data, err := json.Marshal(membership.Member{Address: n.cfg.Address, PeerAddress: n.cfg.PeerAddress, DataCentre: n.cfg.DataCentre, Cores: n.cfg.Cores, Draining: m.left.Load(),
-		Configuration: n.configurationVersion(), Follows: n.follower.Source().String()})
+		Configuration: n.configurationVersion(), WatchSource: n.follower.Source().String()})
 	if err != nil {
 		n.cfg.Logger.Error("member row", "err", err)
 		return lease.Lease{}
--- a/pkg/node/members.go
+++ b/pkg/node/members.go
@@ -12,7 +12,7 @@
 // time given, members get time to renew theirs.
 func (s *state) onMembers(u feed.Update, away bool, since time.Time) []effect {
 	var effs []effect
-	q := quarantine.Split(u.Changes, QuarantinePrefix())
+	q := quarantine.SplitChanges(u.Changes, QuarantinePrefix())
 	s.relayed.learn(u.Changes, u.Reset)
 	apply := s.members.Apply
 	if u.Relayed {
@@ -21,11 +21,11 @@
 	if err := apply(q.Others, u.Reset, u.At); err != nil {
 		effs = append(effs, note{"member not understood", []any{"err", err}})
 	}
-	if u.Reset || len(q.Rows) > 0 || len(q.Unreadable) > 0 {
+	if u.Reset || len(q.Rows) > 0 || len(q.DecodeErrors) > 0 {
 		effs = append(effs, learnQuarantine{update: q, reset: u.Reset, at: u.At})
 	}
 	if away {
-		s.members.Excuse(since, u.At)
+		s.members.ExtendAfterOutage(since, u.At)
 	}
 	return append(effs, s.tellMembers(u.At))
 }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -30,14 +30,14 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// Engines speaks to upstreams.
-type Engines interface {
+// UpstreamClient speaks to upstreams.
+type UpstreamClient interface {
 	forward.Transport
 	forward.Opener
 	submission.Generator
-	weights.Orderer
-	// Gone reports whether nothing listens at an upstream's address.
-	Gone(ctx context.Context, e upstream.Entry) bool
+	weights.OrderClient
+	// NotListening reports whether nothing listens at an upstream's address.
+	NotListening(ctx context.Context, e upstream.Entry) bool
 }
 
 // Decoder reads the rows that the platform's operators, trainers and
@@ -47,29 +47,29 @@
 	EntriesTable  string // the upstreams' entries
 
 	Configuration func(platform.Row) (t *routetable.Table, ok bool, err error)
-	NamedVersion  func(platform.Row) (model string, version uint64, ok bool)
+	TargetVersion func(platform.Row) (model string, version uint64, ok bool)
 	Entry         func(platform.Row) (upstream.Entry, error)
-	// WithoutKeys returns a row of the operator's without callers' keys.
-	WithoutKeys func(platform.Row) platform.Row
+	// RedactKeys returns a row of the operator's without callers' keys.
+	RedactKeys func(platform.Row) platform.Row
 	// EntryDigest returns the same number for rows of one upstream that tell the same
 	// Entry, without reading them whole: nearly all writes are heartbeats that change
 	// nothing else. It returns 0 for a row that is to be read. Nil for always 0.
 	EntryDigest func(platform.Row) uint64
 }
 
-// Reach tells whether a way leads to the store.
-type Reach interface {
-	Lost() bool
-	// WhileReached returns a context that ends when no way leads to the store.
-	WhileReached(ctx context.Context) (context.Context, context.CancelFunc)
+// StoreReachability tells whether a way leads to the store.
+type StoreReachability interface {
+	Unreachable() bool
+	// WhileReachable returns a context that ends when no way leads to the store.
+	WhileReachable(ctx context.Context) (context.Context, context.CancelFunc)
 }
 
 // alwaysReached is the Reach of a store that is never lost.
 type alwaysReached struct{}
 
-func (alwaysReached) Lost() bool { return false }
+func (alwaysReached) Unreachable() bool { return false }
 
-func (alwaysReached) WhileReached(ctx context.Context) (context.Context, context.CancelFunc) {
+func (alwaysReached) WhileReachable(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithCancel(ctx)
 }
 
@@ -84,20 +84,20 @@
 	Store       platform.Store
 	// Dial opens a link to another instance to follow tables through it; nil if each
 	// instance reads them from the store.
-	Dial      watch.Dial
-	Reach     Reach // nil for a store that is never lost
-	Engines   Engines
-	Decoder   Decoder
-	Logger    *log.Logger
-	Metrics   metrics.Registry // counters and timers; nil for ones that nobody reads
-	MaxRow    int              // largest value of a row of the store, in bytes
-	LeaseTime time.Duration    // holders of orders must not alternate within it
-	KeepFor   time.Duration    // submissions are kept so long after their acceptance; 0 for ever
-	Grace     time.Duration    // from the request to stop until the process is killed
-	// Cloud takes the site's reports of use and orders of engines; nil for none.
-	Cloud Cloud
+	Dial                watch.Dial
+	StoreReachability   StoreReachability // nil for a store that is never lost
+	Upstreams           UpstreamClient
+	Decoder             Decoder
+	Logger              *log.Logger
+	Metrics             metrics.Registry // counters and timers; nil for ones that nobody reads
+	MaxRowBytes         int              // largest value of a row of the store, in bytes
+	MinHolderInterval   time.Duration    // holders of orders must not alternate within it
+	SubmissionRetention time.Duration    // submissions are kept so long after their acceptance; 0 for ever
+	ShutdownGrace       time.Duration    // from the request to stop until the process is killed
+	// CloudProvider takes the site's reports of use and orders of engines; nil for none.
+	CloudProvider CloudProvider
 	// Calendar is that of the reports of use; zero if none are wanted.
-	Calendar usage.Calendar
+	Calendar usage.Schedule
 }
 
 const (
@@ -113,7 +113,7 @@
 type Node struct {
 	cfg       Config
 	start     string // identifies this start of the instance
-	log       submission.Log
+	log       submission.Repository
 	registry  *upstream.Registry
 	forwarder *forward.Forwarder
 	events    chan any
@@ -141,7 +141,7 @@
 	// upstreams is how many upstreams there are.
 	upstreams atomic.Int64
 	// quarantine is what is known of requests that crash upstreams.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Syncer
 	named      atomic.Pointer[map[string]uint64]
 	standing   atomic.Pointer[standing] // among the members; nil while none are known
 	// membersCurrent means that what standing tells is recent enough for callers.
@@ -150,17 +150,17 @@
 
 // New returns a Node.
 func New(cfg Config) *Node {
-	n := &Node{cfg: cfg, start: membership.Start(cfg.Name, time.Now()), begunAt: time.Now(), registry: upstream.NewRegistry(cfg.DataCentre),
-		log: submission.Log{Store: cfg.Store, MaxRow: cfg.MaxRow}, events: make(chan any, eventQueue)}
+	n := &Node{cfg: cfg, start: membership.StartID(cfg.Name, time.Now()), begunAt: time.Now(), registry: upstream.NewRegistry(cfg.DataCentre),
+		log: submission.Repository{Store: cfg.Store, MaxRow: cfg.MaxRowBytes}, events: make(chan any, eventQueue)}
 	if n.cfg.Metrics == nil {
 		n.cfg.Metrics = metrics.NewRegistry()
 	}
-	if n.cfg.Reach == nil {
-		n.cfg.Reach = alwaysReached{}
+	if n.cfg.StoreReachability == nil {
+		n.cfg.StoreReachability = alwaysReached{}
 	}
 	n.observer = newObserver(n)
 	n.quarantine = newQuarantine(n)
-	n.forwarder = forward.New(forward.Config{Transport: cfg.Engines, Opener: cfg.Engines, Registry: n.registry, Affinity: cfg.Name, Guard: n.quarantine.Guard, Observe: n.observer.attempt})
+	n.forwarder = forward.New(forward.Config{Transport: cfg.Upstreams, Opener: cfg.Upstreams, Registry: n.registry, Affinity: cfg.Name, Guard: n.quarantine.Guard, OnAttempt: n.observer.attempt})
 	n.heads.init()
 	n.readers = newReaders(n)
 	n.member = &memberRow{node: n, wake: clock.NewWakeup()}
@@ -205,7 +205,7 @@
 
 // control owns the control state.
 func (n *Node) control(ctx, stop context.Context) error {
-	s := newState(n.cfg.Name, n.start, n.cfg.Decoder, n.cfg.KeepFor)
+	s := newState(n.cfg.Name, n.start, n.cfg.Decoder, n.cfg.SubmissionRetention)
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
 	stopped := stop.Done()
@@ -216,7 +216,7 @@
 		select {
 		case ev = <-n.events:
 		case at := <-ticker.C:
-			ev = tick{At: at, Relays: n.follower.Relays()}
+			ev = tick{At: at, Relays: n.follower.IsRelay()}
 			if at.Sub(gaugedAt) >= gaugePeriod {
 				gaugedAt = at
 				n.observer.state(s)
@@ -225,7 +225,7 @@
 			stopped = nil
 			n.draining.Store(true)
 			n.cfg.Logger.Info("draining", "owned", len(s.running))
-			deadline = time.After(drainTime(n.cfg.Grace))
+			deadline = time.After(drainTime(n.cfg.ShutdownGrace))
 			ev = drain{}
 		case <-deadline:
 			return nil
--- a/pkg/node/observe.go
+++ b/pkg/node/observe.go
@@ -107,7 +107,7 @@
 		return "quarantined"
 	case errors.Is(err, forward.ErrNotRun):
 		return "upstreams_full"
-	case errors.Is(err, forward.ErrBroken):
+	case errors.Is(err, forward.ErrStreamInterrupted):
 		return "stream_broken"
 	}
 	return "no_answer"
@@ -116,11 +116,11 @@
 // quarantined is told what becomes of requests that crash upstreams.
 func (o *observer) quarantined(e quarantine.Event) {
 	o.count("quarantine." + strings.ReplaceAll(e.What, " ", "_"))
-	o.line(o.failures, true, e.What, "content", e.Content, "upstream", e.Upstream, "ends", e.Ends, "unexplained", e.Unexplained, "trials", e.Trials, "err", e.Err)
+	o.line(o.failures, true, e.What, "content", e.Content, "upstream", e.Upstream, "ends", e.Crashes, "unexplained", e.Unexplained, "trials", e.Trials, "err", e.Err)
 }
 
 // step is told what happens to items and submissions that run here.
-func (o *observer) step(s submission.Step) {
+func (o *observer) step(s submission.RunEvent) {
 	o.count("items." + s.What)
 	budget := o.items
 	if s.Err != nil {
@@ -141,20 +141,20 @@
 		return
 	}
 	o.count("watch.sources_taken")
-	o.node.cfg.Logger.Info("tables followed by", "source", e.Source.Kind, "relay", e.Source.Relay, "why", e.Why, "away", e.Away)
+	o.node.cfg.Logger.Info("tables followed by", "source", e.Source.Kind, "relay", e.Source.Relay, "why", e.Reason, "away", e.Downtime)
 }
 
 // runEnded is told how a submission's run here ended: one line tells what its last
 // item waited for.
 func (o *observer) runEnded(h submission.Head, s submission.Summary, err error) {
 	writing := time.Duration(0)
-	if !s.Last.FinishedAt.IsZero() {
-		writing = s.EndedAt.Sub(s.Last.FinishedAt)
+	if !s.LastItem.FinishedAt.IsZero() {
+		writing = s.EndedAt.Sub(s.LastItem.FinishedAt)
 	}
 	o.node.cfg.Logger.Info("submission runs no more", "submission", h.ID, "model", h.Model, "step", h.Step,
-		"owner_after", s.BegunAt.Sub(h.AcceptedAt), "took", s.EndedAt.Sub(s.BegunAt), "waited", s.Last.Waited(s.BegunAt),
-		"generating", s.Last.Generating, "interrupted", s.Last.Interrupted(), "scoring", s.Last.Scoring(), "writing", writing,
-		"attempts", s.Attempts, "refused", s.Refused, "err", err)
+		"owner_after", s.StartedAt.Sub(h.AcceptedAt), "took", s.EndedAt.Sub(s.StartedAt), "waited", s.LastItem.Waited(s.StartedAt),
+		"generating", s.LastItem.Generating, "interrupted", s.LastItem.Interrupted(), "scoring", s.LastItem.Scoring(), "writing", writing,
+		"attempts", s.Attempts, "refused", s.EmptyAttempts, "err", err)
 }
 
 // state tells the gauges what the control state holds.
@@ -173,7 +173,7 @@
 	o.gauge("orders.fencing_token_held", int64(o.node.orders.current().Fencing))
 	o.gauge("store.tables_away", int64(len(s.awaySince)))
 	o.gauge("watch.watchers", int64(o.node.follower.Watchers()))
-	contents, quarantined := o.node.quarantine.Guard.Sizes()
+	contents, quarantined := o.node.quarantine.Guard.Counts()
 	o.gauge("quarantine.contents", int64(contents))
 	o.gauge("quarantine.refused_contents", int64(quarantined))
 	for model, v := range s.named {
--- a/pkg/node/orderlease.go
+++ b/pkg/node/orderlease.go
@@ -13,7 +13,7 @@
 // keep takes and renews the lease while this instance is one of the candidates.
 func (o *orderSender) keep(ctx context.Context) error {
 	n := o.node
-	keeper := &lease.Keeper{Table: n.cfg.Store, Clock: clock.System{}, Name: ordersLease, Holder: n.cfg.Name, TTL: orderTime + takeoverSlack}
+	keeper := &lease.Manager{Table: n.cfg.Store, Clock: clock.System{}, Name: ordersLease, Holder: n.cfg.Name, TTL: orderTime + takeoverSlack}
 	for ctx.Err() == nil {
 		if n.draining.Load() && o.current().Fencing != 0 {
 			o.giveUp(ctx, keeper)
@@ -28,7 +28,7 @@
 
 // take takes or renews the lease. With it goes the ledger: what the holders before
 // left of it is taken up, and replaced by this instance's own when it renews.
-func (o *orderSender) take(ctx context.Context, keeper *lease.Keeper) {
+func (o *orderSender) take(ctx context.Context, keeper *lease.Manager) {
 	n := o.node
 	tctx, cancel := context.WithTimeout(ctx, leaseCall)
 	defer cancel()
@@ -36,7 +36,7 @@
 		o.renew(tctx, keeper)
 		return
 	}
-	held, err := keeper.Take(tctx, nil) // what the row holds stays in it
+	held, err := keeper.Acquire(tctx, nil) // what the row holds stays in it
 	switch {
 	case errors.Is(err, lease.ErrHeld):
 		return
@@ -49,7 +49,7 @@
 }
 
 // renew renews the lease with this instance's ledger.
-func (o *orderSender) renew(ctx context.Context, keeper *lease.Keeper) {
+func (o *orderSender) renew(ctx context.Context, keeper *lease.Manager) {
 	n := o.node
 	ids, data, err := o.encodeLedger(time.Now())
 	if err != nil {
@@ -81,7 +81,7 @@
 func (o *orderSender) begin(h lease.Held) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if err := o.ledger.inherit(h.Data, time.Now().Add(o.node.cfg.LeaseTime)); err != nil {
+	if err := o.ledger.inherit(h.Data, time.Now().Add(o.node.cfg.MinHolderInterval)); err != nil {
 		o.node.cfg.Logger.Error("ledger of orders", "err", err)
 	}
 	o.setHeld(h)
@@ -112,7 +112,7 @@
 		if h.Fencing != 0 {
 			o.since = time.Now()
 		}
-		o.node.duties.wake.Ring()
+		o.node.duties.wake.Signal()
 	}
 	o.held = h
 	o.written = map[string]bool{}
@@ -131,7 +131,7 @@
 		}
 		wrote := o.wrote
 		o.mu.Unlock()
-		o.wake.Ring() // a renewal that is under way may be without the engine
+		o.wake.Signal() // a renewal that is under way may be without the engine
 		select {
 		case <-wrote:
 		case <-ctx.Done():
@@ -150,7 +150,7 @@
 
 // giveUp gives the lease up, so that another instance orders engines before it would
 // lapse. The next holder leaves the engines that are in the ledger alone.
-func (o *orderSender) giveUp(ctx context.Context, keeper *lease.Keeper) {
+func (o *orderSender) giveUp(ctx context.Context, keeper *lease.Manager) {
 	n := o.node
 	o.set(lease.Held{})
 	for !o.idle() {
@@ -173,7 +173,7 @@
 func (o *orderSender) sent(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.ledger.end(id, time.Now().Add(o.node.cfg.LeaseTime))
+	o.ledger.end(id, time.Now().Add(o.node.cfg.MinHolderInterval))
 }
 
 // heldSince returns when the lease that is held was taken, zero if none is.
--- a/pkg/node/orders.go
+++ b/pkg/node/orders.go
@@ -106,7 +106,7 @@
 	if ok && a.born == e.Born {
 		return a.count, nil
 	}
-	rep, err := o.node.cfg.Engines.Report(ctx, e)
+	rep, err := o.node.cfg.Upstreams.Report(ctx, e)
 	if err != nil {
 		return 0, err
 	}
@@ -129,7 +129,7 @@
 
 // send gives one order and waits until the engine has carried it out, or ctx
 // ends: an instance that stops must not stay for a load.
-func (o *orderSender) send(ctx context.Context, key string, to upstream.Entry, mo weights.ModelOrder) {
+func (o *orderSender) send(ctx context.Context, key string, to upstream.Entry, mo weights.LoadOrder) {
 	n := o.node
 	begun := time.Now()
 	octx, cancel := context.WithTimeout(ctx, orderCall)
@@ -147,7 +147,7 @@
 		o.done(key, to.ID, mo.Version, err)
 		return
 	}
-	outcome, err := n.cfg.Engines.Order(octx, to, mo)
+	outcome, err := n.cfg.Upstreams.Order(octx, to, mo)
 	o.sent(to.ID)
 	n.cfg.Logger.Info("order", "upstream", to.ID, "model", mo.Model, "version", mo.Version, "fencing", mo.Fencing, "after_orders", mo.AfterOrders, "outcome", outcome, "err", err)
 	switch outcome {
@@ -173,7 +173,7 @@
 )
 
 // confirm waits until the engine is seen to hold the version.
-func (o *orderSender) confirm(ctx context.Context, to upstream.Entry, mo weights.ModelOrder, until time.Time) error {
+func (o *orderSender) confirm(ctx context.Context, to upstream.Entry, mo weights.LoadOrder, until time.Time) error {
 	begun := time.Now()
 	ask := begun.Add(o.askAfter())
 	for time.Now().Before(until) {
@@ -216,10 +216,10 @@
 }
 
 // loaded asks the engine whether it holds the version.
-func (o *orderSender) loaded(ctx context.Context, e upstream.Entry, mo weights.ModelOrder) bool {
+func (o *orderSender) loaded(ctx context.Context, e upstream.Entry, mo weights.LoadOrder) bool {
 	ctx, cancel := context.WithTimeout(ctx, orderCall)
 	defer cancel()
-	rep, err := o.node.cfg.Engines.Report(ctx, e)
+	rep, err := o.node.cfg.Upstreams.Report(ctx, e)
 	if err != nil {
 		o.node.cfg.Logger.Warn("engine does not report", "upstream", e.ID, "err", err)
 		return false
@@ -230,7 +230,7 @@
 func (o *orderSender) done(key, id string, version uint64, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r, _ := o.rollouts[key].Reduce(weights.Ordered{Address: id, Version: version, Err: err, At: time.Now()})
+	r, _ := o.rollouts[key].Reduce(weights.OrderEnded{Address: id, Version: version, Err: err, At: time.Now()})
 	o.rollouts[key] = r
 	if errors.Is(err, engine.ErrStaleFencing) {
 		o.held = lease.Held{}
--- a/pkg/node/plan.go
+++ b/pkg/node/plan.go
@@ -29,9 +29,9 @@
 // planPool gives the orders that are due in one pool, of which a part may load
 // at once.
 func (o *orderSender) planPool(ctx context.Context, p planOrders, pool routetable.Pool, until time.Time, carryOn bool) {
-	ids, _ := o.node.registry.Staying(pool.Name)
+	ids, _ := o.node.registry.NonDraining(pool.Name)
 	demands := ofPool(pool, p.demands)
-	parts := weights.Partition(ids, demands)
+	parts := weights.AssignEngines(ids, demands)
 	budget := max(minLoading, int(loadingShare*float64(len(ids))+0.5))
 	held := func(d weights.Demand) map[string]uint64 {
 		out := map[string]uint64{}
@@ -42,7 +42,7 @@
 		}
 		return out
 	}
-	for _, d := range weights.ByNeed(demands, held) {
+	for _, d := range weights.SortByUrgency(demands, held) {
 		held := held(d)
 		key := pool.Name + "/" + d.Model
 		orders := o.reduce(key, d, held, budget-o.loading(pool.Name, key), len(ids)/len(demands), p.at, until)
@@ -52,7 +52,7 @@
 				continue // it has gone since; its order ends with its time
 			}
 			// Its fencing token will be that of the row that holds its engine's entry.
-			mo := weights.ModelOrder{Model: d.Model, Version: ord.Version, Holder: o.node.cfg.Name, Continue: carryOn}
+			mo := weights.LoadOrder{Model: d.Model, Version: ord.Version, Holder: o.node.cfg.Name, Continue: carryOn}
 			o.ledger.begin(e.ID)
 			o.node.group.Go(func() error {
 				o.send(ctx, key, e, mo)
@@ -74,7 +74,7 @@
 			d = demands[i]
 		}
 		if pool.Slots > 0 {
-			d.Most = (d.Items + pool.Slots - 1) / pool.Slots
+			d.MaxEngines = (d.MaxItems + pool.Slots - 1) / pool.Slots
 		}
 		known = known || d.Work > 0
 		out = append(out, d)
@@ -96,7 +96,7 @@
 			continue
 		}
 		for _, e := range r.Engines {
-			if !e.OrderEndsAt.IsZero() {
+			if !e.OrderDeadline.IsZero() {
 				n++
 			}
 		}
@@ -111,22 +111,22 @@
 		r = weights.Rollout{Config: weights.Config{SendMargin: orderMargin, OrderTimeout: orderTimeout, RetryDelay: orderPause}}
 	}
 	r.Config.MaxLoading = budget
-	if o.ordered[key].version != d.Named {
-		o.ordered[key] = orderCount{version: d.Named}
+	if o.ordered[key].version != d.TargetVersion {
+		o.ordered[key] = orderCount{version: d.TargetVersion}
 	}
-	ids := weights.Due(held, d, free-o.ordered[key].orders)
+	ids := weights.EnginesToLoad(held, d, free-o.ordered[key].orders)
 	for id, e := range r.Engines {
-		if _, there := held[id]; there && (!e.OrderEndsAt.IsZero() || at.Before(e.RetryAt)) && !slices.Contains(ids, id) {
+		if _, there := held[id]; there && (!e.OrderDeadline.IsZero() || at.Before(e.RetryAt)) && !slices.Contains(ids, id) {
 			ids = append(ids, id)
 		}
 	}
 	ids = slices.DeleteFunc(ids, func(id string) bool { return !o.ledger.mayOrder(id, at) })
-	r, _ = r.Reduce(weights.Pool{Addresses: ids})
-	r, _ = r.Reduce(weights.Named{Version: d.Named})
-	r, _ = r.Reduce(weights.Held{Fencing: o.held.Fencing, Until: until})
-	r, _ = r.Reduce(weights.Versions{Held: held, At: at})
+	r, _ = r.Reduce(weights.EnginesChanged{Addresses: ids})
+	r, _ = r.Reduce(weights.TargetChanged{Version: d.TargetVersion})
+	r, _ = r.Reduce(weights.LeaseHeld{Fencing: o.held.Fencing, Until: until})
+	r, _ = r.Reduce(weights.VersionsReported{ByAddress: held, At: at})
 	r, orders := r.Reduce(weights.Tick{At: at})
 	o.rollouts[key] = r
-	o.ordered[key] = orderCount{version: d.Named, orders: o.ordered[key].orders + len(orders)}
+	o.ordered[key] = orderCount{version: d.TargetVersion, orders: o.ordered[key].orders + len(orders)}
 	return orders
 }
--- a/pkg/node/quarantine.go
+++ b/pkg/node/quarantine.go
@@ -16,22 +16,22 @@
 func QuarantinePrefix() string { return membership.Prefix() + "quarantine/" }
 
 // newQuarantine returns what keeps requests that crash upstreams from them.
-func newQuarantine(n *Node) *quarantine.Keeper {
-	return quarantine.NewKeeper(quarantine.KeeperConfig{
+func newQuarantine(n *Node) *quarantine.Syncer {
+	return quarantine.NewSyncer(quarantine.SyncerConfig{
 		Guard: quarantine.Config{
-			Gone:    n.cfg.Engines.Gone,
-			Leaving: n.isLeaving,
-			Start:   func(f func() error) { n.group.Go(f) },
-			Observe: n.observer.quarantined,
+			NotListening: n.cfg.Upstreams.NotListening,
+			IsLeaving:    n.isLeaving,
+			Go:           func(f func() error) { n.group.Go(f) },
+			OnEvent:      n.observer.quarantined,
 		},
 		Commit: n.cfg.Store.Commit,
 		Prefix: QuarantinePrefix(),
-		By:     n.start,
-		Sweeps: func() bool {
+		Writer: n.start,
+		IsSweeper: func() bool {
 			st := n.standing.Load()
 			return st != nil && isAmongFirst(n.cfg.Name, st.roster, 1, QuarantinePrefix())
 		},
-		Failed: func(rows int, err error) {
+		OnWriteError: func(rows int, err error) {
 			n.cfg.Logger.Debug("quarantine rows not written", "rows", rows, "err", err)
 		},
 	})
@@ -41,7 +41,7 @@
 // that its entry is gone.
 func (n *Node) isLeaving(e upstream.Entry) bool {
 	now, ok := n.registry.Entry(e.ID)
-	return !ok || now.Draining && now.SameStart(e)
+	return !ok || now.Draining && now.SameProcess(e)
 }
 
 // learnQuarantine has the guard take rows that were read.
@@ -52,15 +52,15 @@
 }
 
 func (e learnQuarantine) carryOut(_ context.Context, n *Node) {
-	if len(e.update.Unreadable) > 0 {
-		n.cfg.Logger.Warn("quarantine rows not understood", "err", errors.Join(e.update.Unreadable...))
+	if len(e.update.DecodeErrors) > 0 {
+		n.cfg.Logger.Warn("quarantine rows not understood", "err", errors.Join(e.update.DecodeErrors...))
 	}
 	n.quarantine.Guard.Apply(e.update.Rows, e.reset, e.at)
 }
 
-// Release lets a content out of quarantine at all instances, and returns how many
+// ReleaseQuarantine lets a content out of quarantine at all instances, and returns how many
 // facts were known of it. It counts anew from then on.
-func Release(ctx context.Context, store platform.Store, content quarantine.Fingerprint) (int, error) {
+func ReleaseQuarantine(ctx context.Context, store platform.Store, content quarantine.Fingerprint) (int, error) {
 	prefix := QuarantinePrefix() + content.String() + "/"
 	page, err := store.ScanFrom(ctx, prefix, "", releaseRows)
 	if err != nil || len(page.Rows) == 0 {
--- a/pkg/node/readers.go
+++ b/pkg/node/readers.go
@@ -21,8 +21,8 @@
 	keptResults = 12
 )
 
-// Page is a part of a submission's results.
-type Page struct {
+// ResultPage is a part of a submission's results.
+type ResultPage struct {
 	Total   int
 	Next    int // position after the last result
 	Results []submission.Result
@@ -96,7 +96,7 @@
 }
 
 // spec returns what a submission's sender handed over.
-func (r *readers) spec(ctx context.Context, o submission.Owned) (submission.Spec, error) {
+func (r *readers) spec(ctx context.Context, o submission.HeadRow) (submission.Spec, error) {
 	id := o.ID
 	r.mu.Lock()
 	if run := r.runs[id]; run != nil {
@@ -120,16 +120,16 @@
 
 // page returns the results of a submission from position after on, waiting
 // until there is one, wait is over or ctx ends.
-func (r *readers) page(ctx context.Context, o submission.Owned, after int, until time.Time) (Page, error) {
+func (r *readers) page(ctx context.Context, o submission.HeadRow, after int, until time.Time) (ResultPage, error) {
 	for {
 		results, changed, err := r.from(ctx, o, after)
 		if err != nil {
-			return Page{}, err
+			return ResultPage{}, err
 		}
 		left := time.Until(until)
 		if len(results) > 0 || after >= o.Total || left <= 0 || ctx.Err() != nil {
 			results = fitting(results)
-			return Page{Total: o.Total, Next: after + len(results), Results: results}, nil
+			return ResultPage{Total: o.Total, Next: after + len(results), Results: results}, nil
 		}
 		if changed == nil {
 			left = min(left, pollPeriod)
@@ -146,7 +146,7 @@
 
 // from returns results from a position on, and a channel that tells of more if
 // the submission runs here.
-func (r *readers) from(ctx context.Context, o submission.Owned, after int) ([]submission.Result, <-chan struct{}, error) {
+func (r *readers) from(ctx context.Context, o submission.HeadRow, after int) ([]submission.Result, <-chan struct{}, error) {
 	if run := r.run(o.ID); run != nil {
 		results, changed := run.runner.Results(after)
 		return results, changed, nil
@@ -214,15 +214,15 @@
 // headIndex holds the heads of all submissions for readers.
 type headIndex struct {
 	mu    sync.Mutex
-	heads map[string]submission.Owned
-	last  map[string]submission.Owned // by ownerKey, that which changed last
+	heads map[string]submission.HeadRow
+	last  map[string]submission.HeadRow // by ownerKey, that which changed last
 }
 
 func (x *headIndex) init() {
-	x.heads, x.last = map[string]submission.Owned{}, map[string]submission.Owned{}
+	x.heads, x.last = map[string]submission.HeadRow{}, map[string]submission.HeadRow{}
 }
 
-func (x *headIndex) set(o submission.Owned) {
+func (x *headIndex) set(o submission.HeadRow) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if o.Fencing <= x.heads[o.ID].Fencing {
@@ -249,7 +249,7 @@
 	return x.last[key].Owner
 }
 
-func (x *headIndex) get(id string) (submission.Owned, bool) {
+func (x *headIndex) get(id string) (submission.HeadRow, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	o, ok := x.heads[id]
--- a/pkg/node/relay.go
+++ b/pkg/node/relay.go
@@ -56,12 +56,12 @@
 		return nil
 	}
 	r.roster, r.rows, r.anew = roster, rows, false
-	return []effect{relayMembers{told: s.members.Relay(t.At, s.name), others: slices.Collect(maps.Values(r.quarantine)), at: t.At}}
+	return []effect{relayMembers{told: s.members.RelayedMembers(t.At, s.name), others: slices.Collect(maps.Values(r.quarantine)), at: t.At}}
 }
 
 // relayMembers passes on what is known of the members.
 type relayMembers struct {
-	told   []membership.Relayed
+	told   []membership.RelayedMember
 	others []platform.Row
 	at     time.Time
 }
@@ -84,12 +84,12 @@
 type toldMembers map[string]toldMember
 
 type toldMember struct {
-	membership.Relayed
+	membership.RelayedMember
 	value []byte
 }
 
-func (m toldMembers) encode(t membership.Relayed) ([]byte, error) {
-	if old, ok := m[t.Name]; ok && old.Relayed == t {
+func (m toldMembers) encode(t membership.RelayedMember) ([]byte, error) {
+	if old, ok := m[t.Name]; ok && old.RelayedMember == t {
 		return old.value, nil
 	}
 	value, err := t.Encode()
@@ -101,7 +101,7 @@
 }
 
 // Watch answers those who follow tables through this instance.
-func (n *Node) Watch(ctx context.Context, tables []peer.WatchedTable, send func(peer.News) error) error {
+func (n *Node) Watch(ctx context.Context, tables []peer.WatchedTable, send func(peer.WatchUpdate) error) error {
 	return n.follower.Watch(ctx, tables, send)
 }
 
--- a/pkg/node/service.go
+++ b/pkg/node/service.go
@@ -53,7 +53,7 @@
 }
 
 // Forward forwards r by route rt.
-func (n *Node) Forward(ctx context.Context, rt routetable.Route, r forward.Request) (forward.Answer, error) {
+func (n *Node) Forward(ctx context.Context, rt routetable.Route, r forward.Request) (forward.Response, error) {
 	begun := time.Now()
 	a, err := n.forwarder.Do(ctx, rt, r)
 	n.observer.request(rt, r, a.Status, begun, err)
@@ -81,7 +81,7 @@
 	if n.draining.Load() {
 		return verdict.Refuse(http.StatusServiceUnavailable, time.Now(), errors.New("node: draining"))
 	}
-	if n.cfg.Reach.Lost() {
+	if n.cfg.StoreReachability.Unreachable() {
 		return verdict.Refuse(http.StatusServiceUnavailable, time.Now().Add(elsewhereAfter), errStoreLost)
 	}
 	// The sender's leaving does not end it: what has begun may be kept.
@@ -93,7 +93,7 @@
 	if err != nil {
 		n.observer.count("submissions.not_kept")
 		n.cfg.Logger.Warn("submission not kept", "submission", s.ID, "took", time.Since(begun), "err", err)
-		if errors.Is(err, platform.ErrNotDone) {
+		if errors.Is(err, platform.ErrNotApplied) {
 			return verdict.Refuse(http.StatusServiceUnavailable, time.Now().Add(elsewhereAfter), err)
 		}
 		return verdict.New(verdict.MayHaveRun, http.StatusGatewayTimeout, err)
@@ -115,7 +115,7 @@
 	n.group.Go(func() error {
 		ctx, cancel := context.WithTimeout(ctx, storeTime)
 		defer cancel()
-		if err := n.log.DropSpec(ctx, s); err != nil {
+		if err := n.log.DeleteSpec(ctx, s); err != nil {
 			n.cfg.Logger.Warn("refused submission not dropped", "submission", s.ID, "err", err)
 		}
 		return nil
@@ -127,7 +127,7 @@
 // leads to the store: another instance may have one, and a caller that waited here for
 // acceptTime would have asked it long since.
 func (n *Node) whileReached(ctx context.Context) (context.Context, context.CancelFunc) {
-	ctx, reachedNoMore := n.cfg.Reach.WhileReached(context.WithoutCancel(ctx))
+	ctx, reachedNoMore := n.cfg.StoreReachability.WhileReachable(context.WithoutCancel(ctx))
 	ctx, cancel := context.WithTimeout(ctx, acceptTime)
 	return ctx, func() { cancel(); reachedNoMore() }
 }
@@ -143,18 +143,18 @@
 	}
 	able := owners(st.roster.Members, h)
 	last := n.heads.lastOwner(ownerKey(h))
-	if slices.ContainsFunc(able, func(m *membership.Member) bool { return m.Start == last }) {
+	if slices.ContainsFunc(able, func(m *membership.Member) bool { return m.StartID == last }) {
 		return last
 	}
 	if len(able) > 0 {
-		return able[0].Start
+		return able[0].StartID
 	}
 	return n.start
 }
 
 // head returns the head of a customer's submission, from the store if it is not
 // known. Another's is unknown.
-func (n *Node) head(ctx context.Context, id, customer string) (submission.Owned, error) {
+func (n *Node) head(ctx context.Context, id, customer string) (submission.HeadRow, error) {
 	o, ok := n.heads.get(id)
 	if !ok {
 		var err error
@@ -164,17 +164,17 @@
 		n.heads.set(o)
 	}
 	if !o.BelongsTo(customer) {
-		return submission.Owned{}, submission.ErrUnknown
+		return submission.HeadRow{}, submission.ErrNotFound
 	}
 	return o, nil
 }
 
 // Results returns results of a customer's submission from position after on, waiting for
 // one until the time given. Its errors are submission.ErrUnknown and ErrNotSure.
-func (n *Node) Results(ctx context.Context, id, customer string, after int, until time.Time) (Page, error) {
+func (n *Node) Results(ctx context.Context, id, customer string, after int, until time.Time) (ResultPage, error) {
 	o, err := n.head(ctx, id, customer)
 	if err != nil {
-		return Page{}, err
+		return ResultPage{}, err
 	}
 	return n.readers.page(ctx, o, after, until)
 }
@@ -195,7 +195,7 @@
 			return it.Body, nil
 		}
 	}
-	return nil, submission.ErrNoItem
+	return nil, submission.ErrItemNotFound
 }
 
 // End ends a customer's submission: what runs of it is cancelled, its results stay.
@@ -206,7 +206,7 @@
 	}
 	ctx, cancel := n.whileReached(ctx)
 	defer cancel()
-	o, err = n.log.Change(ctx, o, func(h submission.Head) (submission.Head, bool) {
+	o, err = n.log.UpdateHead(ctx, o, func(h submission.Head) (submission.Head, bool) {
 		if h.Ended {
 			return h, false
 		}
@@ -214,7 +214,7 @@
 		return h, true
 	})
 	if err != nil {
-		return fmt.Errorf("%w: %w", submission.ErrNotSure, err)
+		return fmt.Errorf("%w: %w", submission.ErrStoreUnavailable, err)
 	}
 	n.cfg.Logger.Info("submission ended", "submission", id)
 	n.heads.set(o)
@@ -225,10 +225,10 @@
 // runnerConfig returns the configuration of the runners here.
 func (n *Node) runnerConfig() submission.Config {
 	return submission.Config{
-		Priority: n.priority,
-		Log:      n.log, Registry: n.registry, Generator: n.cfg.Engines, Guard: n.quarantine.Guard, Score: n.score, Draw: draw, Observe: n.observer.step,
-		ScoreRoom: n.scoreRoom,
-		Named: func(model string) uint64 {
+		Priority:   n.priority,
+		Repository: n.log, Registry: n.registry, Generator: n.cfg.Upstreams, Guard: n.quarantine.Guard, Score: n.score, Rand: draw, OnEvent: n.observer.step,
+		ScorerLimit: n.scoreRoom,
+		TargetVersion: func(model string) uint64 {
 			if named := n.named.Load(); named != nil {
 				return (*named)[model]
 			}
@@ -259,7 +259,7 @@
 	}
 	slots := 0
 	for _, s := range rt.Shares {
-		_, more := n.registry.Staying(s.Pool)
+		_, more := n.registry.NonDraining(s.Pool)
 		slots += more
 	}
 	models := 1
@@ -270,12 +270,12 @@
 }
 
 // score sends a scorer's call once.
-func (n *Node) score(ctx context.Context, c submission.Call) submission.Scored {
+func (n *Node) score(ctx context.Context, c submission.Call) submission.ScoreResult {
 	rt, err := n.Route(c.Host, c.Path)
 	if err != nil {
-		return submission.Scored{}
+		return submission.ScoreResult{}
 	}
-	s := submission.Scored{MaxAttempts: rt.MaxAttempts}
+	s := submission.ScoreResult{MaxAttempts: rt.MaxAttempts}
 	wait := rt.Timeout
 	if wait == 0 {
 		wait = scoreTime
--- a/pkg/node/standing.go
+++ b/pkg/node/standing.go
@@ -29,7 +29,7 @@
 // of r as key ranks them.
 func isAmongFirst(name string, r *membership.Roster, n int, key string) bool {
 	self, ok := r.Member(name)
-	return ok && route.Before(r.Members, memberName, key, self) < n
+	return ok && route.RankOf(r.Members, memberName, key, self) < n
 }
 
 func memberName(m *membership.Member) string { return m.Name }
--- a/pkg/node/state.go
+++ b/pkg/node/state.go
@@ -42,22 +42,22 @@
 	}
 	// accepted tells that this instance has accepted a submission.
 	accepted struct {
-		submission.Owned
+		submission.HeadRow
 		Spec submission.Spec
 	}
 	// adopted tells the outcome of an adopt.
 	adopted struct {
-		ID    string
-		Owned submission.Owned
-		Spec  submission.Spec
-		Left  submission.Left
-		Err   error
-		At    time.Time
+		ID        string
+		Owned     submission.HeadRow
+		Spec      submission.Spec
+		PriorWork submission.PriorWork
+		Err       error
+		At        time.Time
 	}
 	// runEnded tells that a submission runs no more here.
 	runEnded struct {
 		ID   string
-		Head submission.Owned // as the run left it, if it knows
+		Head submission.HeadRow // as the run left it, if it knows
 		Err  error
 	}
 	// swept tells the outcome of a sweep.
@@ -78,7 +78,7 @@
 	members *membership.View
 	ranks   ranks
 	relayed relayedMembers
-	heads   map[string]submission.Owned
+	heads   map[string]submission.HeadRow
 	orphans map[string]time.Time // open submissions without a live owner, since when
 	retryAt map[string]time.Time // of adoptions that failed
 	running map[string]bool      // submissions that run here or are being adopted
@@ -93,7 +93,7 @@
 	dealt map[string]float64 // the work by which engines are dealt to models
 
 	table     *routetable.Table // newest configuration
-	unwritten []Change          // of the configuration, not in the audit trail
+	unwritten []AuditRecord     // of the configuration, not in the audit trail
 
 	asked     []weights.Demand // of the models, as last worked out
 	askedAnew bool             // what it is worked out from has changed since
@@ -111,7 +111,7 @@
 
 func newState(name, start string, d Decoder, keepFor time.Duration) *state {
 	return &state{name: name, start: start, decoder: d, keepFor: keepFor, members: membership.NewView(),
-		heads: map[string]submission.Owned{}, orphans: map[string]time.Time{}, retryAt: map[string]time.Time{}, running: map[string]bool{},
+		heads: map[string]submission.HeadRow{}, orphans: map[string]time.Time{}, retryAt: map[string]time.Time{}, running: map[string]bool{},
 		entries: map[string]registered{}, missing: map[string]time.Time{},
 		named: map[string]uint64{}, lag: map[string]uint64{}, work: map[string]float64{}, dealt: map[string]float64{}, read: map[string]bool{}, awaySince: map[string]time.Time{}}
 }
@@ -186,7 +186,7 @@
 			s.undealt = true
 			s.record(t, u.At)
 			effs = append(effs, setTable{t})
-		} else if model, version, ok := s.decoder.NamedVersion(ch.Row); ok && version > s.named[model] {
+		} else if model, version, ok := s.decoder.TargetVersion(ch.Row); ok && version > s.named[model] {
 			s.named[model], s.askedAnew = version, true
 			effs = append(effs, note{"version named", []any{"model", model, "version", version}}, setNamed{maps.Clone(s.named)})
 		}
--- a/pkg/node/state_test.go
+++ b/pkg/node/state_test.go
@@ -27,7 +27,7 @@
 
 var decoder = node.Decoder{OperatorTable: "operator", EntriesTable: entries,
 	Configuration: func(platform.Row) (*routetable.Table, bool, error) { return nil, false, nil },
-	NamedVersion:  func(platform.Row) (string, uint64, bool) { return "", 0, false },
+	TargetVersion: func(platform.Row) (string, uint64, bool) { return "", 0, false },
 	Entry: func(r platform.Row) (upstream.Entry, error) {
 		if string(r.Value) == "bad" {
 			return upstream.Entry{}, errors.New("bad")
@@ -89,7 +89,7 @@
 	ended.Ended = true
 	s.Update(heads(now, head(t, claimed, 3)))
 	s.Update(heads(now, head(t, ended, 4)))
-	if effs := s.Adopted(submission.Owned{Head: claimed, Fencing: 3}, now); len(effs) != 0 {
+	if effs := s.TakenOver(submission.HeadRow{Head: claimed, Fencing: 3}, now); len(effs) != 0 {
 		t.Fatalf("effects %v after the end, want none", effs)
 	}
 }
@@ -104,7 +104,7 @@
 	}{
 		"live owner":            {submission.Head{Owner: "b#1", Claimed: true}, false, 20 * time.Second},
 		"owner does not claim":  {submission.Head{Owner: "b#1"}, true, 1500 * time.Millisecond},
-		"given up":              {submission.Head{Owner: "", Progress: 3}, true, time.Second},
+		"given up":              {submission.Head{Owner: "", ProgressToken: 3}, true, time.Second},
 		"owner started again":   {submission.Head{Owner: "b#0", Claimed: true}, true, time.Second},
 		"own, of earlier start": {submission.Head{Owner: "a#0", Claimed: true}, true, 200 * time.Millisecond},
 		"owner gone":            {submission.Head{Owner: "c#1", Claimed: true}, true, 4 * time.Second},
@@ -159,7 +159,7 @@
 		t.Fatalf("effects %v", effs)
 	}
 	mine.Claimed = true
-	if effs := s.Adopted(submission.Owned{Head: mine, Fencing: 3}, now); !slices.Contains(effs, "start l1") {
+	if effs := s.TakenOver(submission.HeadRow{Head: mine, Fencing: 3}, now); !slices.Contains(effs, "start l1") {
 		t.Fatalf("effects %v", effs)
 	}
 	other := mine
@@ -313,11 +313,11 @@
 	s.Update(members(now, member(t, "a", "a#1", 1)))
 	mine := submission.Head{ID: "l1", Owner: "a#1", Claimed: true, AcceptedAt: now}
 	s.Update(heads(now, head(t, submission.Head{ID: "l1", Owner: "a#1"}, 2)))
-	if effs := s.Adopted(submission.Owned{Head: mine, Fencing: 3}, now); !slices.Contains(effs, "start l1") {
+	if effs := s.TakenOver(submission.HeadRow{Head: mine, Fencing: 3}, now); !slices.Contains(effs, "start l1") {
 		t.Fatalf("effects %v", effs)
 	}
 	mine.Complete = true
-	s.RunEnded(submission.Owned{Head: mine, Fencing: 4})
+	s.RunEnded(submission.HeadRow{Head: mine, Fencing: 4})
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
 		s.Update(members(now, member(t, "a", "a#1", uint64(now.UnixMilli()))))
@@ -400,7 +400,7 @@
 	now := start()
 	s.Update(heads(now, head(t, submission.Head{ID: "l1", Model: "m", Total: 40, Ended: true}, 1), head(t, submission.Head{ID: "l2", Model: "m", Total: 30}, 2),
 		head(t, submission.Head{ID: "l3", Model: "n", Total: 5}, 3), head(t, submission.Head{ID: "l4", Model: "n", Total: 5}, 4), head(t, submission.Head{ID: "l5", Model: "n", Total: 5}, 5)))
-	if m, n := s.Items("m"), s.Items("n"); m != 80 || n != 15 {
+	if m, n := s.ConcurrentItems("m"), s.ConcurrentItems("n"); m != 80 || n != 15 {
 		t.Errorf("%d of m and %d of n, want 80 and 15", m, n)
 	}
 }
--- a/pkg/node/sweep.go
+++ b/pkg/node/sweep.go
@@ -43,7 +43,7 @@
 func (s *state) onSwept(e swept) []effect {
 	s.sweeping = false
 	s.sweepAt = e.At.Add(sweepPause)
-	if e.Err == nil || errors.Is(e.Err, submission.ErrLost) {
+	if e.Err == nil || errors.Is(e.Err, submission.ErrNotOwner) {
 		return s.forget(e.ID)
 	}
 	return nil
--- a/pkg/node/usage.go
+++ b/pkg/node/usage.go
@@ -26,16 +26,16 @@
 	}
 }
 
-// TellUse tells the rest of what this instance has counted of its customers' use, as
+// FlushUsage tells the rest of what this instance has counted of its customers' use, as
 // nobody else knows of it. It is called when the last request has been answered.
-func (n *Node) TellUse(ctx context.Context) { n.usage.tell(ctx) }
+func (n *Node) FlushUsage(ctx context.Context) { n.usage.tell(ctx) }
 
 // keep tells what has changed until ctx ends.
 func (t *teller) keep(ctx context.Context) error {
 	if t.node.cfg.Calendar.Length <= 0 {
 		return nil
 	}
-	for clock.Sleep(ctx, usage.TellPeriod) {
+	for clock.Sleep(ctx, usage.TallyWritePeriod) {
 		t.tell(ctx)
 	}
 	return nil
@@ -46,14 +46,14 @@
 	n := t.node
 	ctx, cancel := context.WithTimeout(ctx, storeTime)
 	defer cancel()
-	for _, tally := range t.meter.Untold() {
-		version, holds, err := t.ledger.Tell(ctx, n.start, tally)
+	for _, tally := range t.meter.Unwritten() {
+		version, holds, err := t.ledger.WriteTally(ctx, n.start, tally)
 		if err != nil {
 			n.observer.count("usage.not_told")
 			n.cfg.Logger.Debug("use not told", "window", tally.Window, "err", err)
 			return
 		}
-		t.meter.Told(tally, version, holds)
+		t.meter.Written(tally, version, holds)
 	}
-	t.meter.Forget(time.Now())
+	t.meter.Expire(time.Now())
 }
--- a/pkg/peer/hints.go
+++ b/pkg/peer/hints.go
@@ -13,8 +13,8 @@
 	"github.com/zinnialadder/zinnialadder/internal/peerpb"
 )
 
-// Config configures Links.
-type Config struct {
+// HintsConfig configures Links.
+type HintsConfig struct {
 	Listener  net.Listener // where peers connect; nil to listen on Listen
 	Listen    string       // IP:port; empty, with no Listener, to carry no hints
 	KeepAlive time.Duration
@@ -23,11 +23,11 @@
 	Receive   func(context.Context, *peerpb.Hint)
 }
 
-// Links are an instance's links to its peers that carry hints. A hint only makes
+// Hints are an instance's links to its peers that carry hints. A hint only makes
 // its receiver look sooner; one that is lost costs at most a period. Call New, then
 // Serve.
-type Links struct {
-	cfg      Config
+type Hints struct {
+	cfg      HintsConfig
 	out      chan *peerpb.Hint // latest hint to send; older ones are replaced
 	sessions *Sessions
 
@@ -41,13 +41,13 @@
 	net.Conn
 }
 
-// New returns Links that carry nothing yet.
-func New(cfg Config) *Links {
-	return &Links{cfg: cfg, out: make(chan *peerpb.Hint, 1), sessions: NewSessions(cfg.KeepAlive), streams: map[string]hintStream{}}
+// NewHints returns Links that carry nothing yet.
+func NewHints(cfg HintsConfig) *Hints {
+	return &Hints{cfg: cfg, out: make(chan *peerpb.Hint, 1), sessions: NewSessions(cfg.KeepAlive), streams: map[string]hintStream{}}
 }
 
-// Hint queues h for every peer and does not block.
-func (p *Links) Hint(h *peerpb.Hint) {
+// Broadcast queues h for every peer and does not block.
+func (p *Hints) Broadcast(h *peerpb.Hint) {
 	for {
 		select {
 		case p.out <- h:
@@ -63,7 +63,7 @@
 }
 
 // Serve accepts peers' sessions and sends queued hints until ctx ends.
-func (p *Links) Serve(ctx context.Context) error {
+func (p *Hints) Serve(ctx context.Context) error {
 	ln := p.cfg.Listener
 	if ln == nil && p.cfg.Listen == "" {
 		<-ctx.Done()
@@ -89,7 +89,7 @@
 }
 
 // receive reads the hints of one stream.
-func (p *Links) receive(ctx context.Context, stream net.Conn) {
+func (p *Hints) receive(ctx context.Context, stream net.Conn) {
 	r := protodelim.UnmarshalOptions{MaxSize: maxHint}
 	br := newByteReader(stream)
 	for {
@@ -118,7 +118,7 @@
 
 // broadcast sends h to the targets, all at once, so that peers that
 // cannot be reached do not hold up the others.
-func (p *Links) broadcast(ctx context.Context, h *peerpb.Hint) {
+func (p *Hints) broadcast(ctx context.Context, h *peerpb.Hint) {
 	var sends errgroup.Group
 	for _, addr := range p.cfg.Targets() {
 		sends.Go(func() error {
@@ -131,7 +131,7 @@
 	_ = sends.Wait()
 }
 
-func (p *Links) send(ctx context.Context, addr string, h *peerpb.Hint) error {
+func (p *Hints) send(ctx context.Context, addr string, h *peerpb.Hint) error {
 	stream, err := p.stream(ctx, addr)
 	if err != nil {
 		return err
@@ -143,7 +143,7 @@
 
 // stream returns the stream for hints to the peer at addr. One broadcast runs at a
 // time, so no two calls are for the same peer.
-func (p *Links) stream(ctx context.Context, addr string) (net.Conn, error) {
+func (p *Hints) stream(ctx context.Context, addr string) (net.Conn, error) {
 	session, err := p.sessions.Open(ctx, addr)
 	if err != nil {
 		return nil, err
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -104,8 +104,8 @@
 	p.close()
 }
 
-// Only closes the sessions to all peers but the one at addr.
-func (s *Sessions) Only(addr string) {
+// CloseExcept closes the sessions to all peers but the one at addr.
+func (s *Sessions) CloseExcept(addr string) {
 	s.mu.Lock()
 	var others []*peerSession
 	for a, p := range s.peers {
@@ -125,7 +125,7 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.Only("")
+	s.CloseExcept("")
 }
 
 func (p *peerSession) close() {
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -27,8 +27,8 @@
 	}
 	got := make(chan *peerpb.Hint, 8)
 	receiver := listen()
-	links := func(ln net.Listener, targets ...string) *peer.Links {
-		l := peer.New(peer.Config{Listener: ln, KeepAlive: time.Second, Go: func(f func() error) { g.Go(f) },
+	links := func(ln net.Listener, targets ...string) *peer.Hints {
+		l := peer.NewHints(peer.HintsConfig{Listener: ln, KeepAlive: time.Second, Go: func(f func() error) { g.Go(f) },
 			Targets: func() []string { return targets }, Receive: func(_ context.Context, h *peerpb.Hint) { got <- h }})
 		g.Go(func() error { return l.Serve(ctx) })
 		return l
@@ -36,7 +36,7 @@
 	links(receiver)
 	sender := links(listen(), "127.0.0.1:1", receiver.Addr().String())
 	for revision := uint64(1); revision < 4; revision++ {
-		sender.Hint(&peerpb.Hint{From: "a", CatalogueRevision: revision})
+		sender.Broadcast(&peerpb.Hint{From: "a", CatalogueRevision: revision})
 		select {
 		case h := <-got:
 			if h.CatalogueRevision != revision {
--- a/pkg/peer/storecall.go
+++ b/pkg/peer/storecall.go
@@ -68,7 +68,7 @@
 		a.Outcome = peerpb.StoreAnswer_NOT_FOUND
 	case errors.Is(err, platform.ErrHistoryGone):
 		a.Outcome = peerpb.StoreAnswer_HISTORY_GONE
-	case errors.Is(err, platform.ErrNotDone):
+	case errors.Is(err, platform.ErrNotApplied):
 		a.Outcome = peerpb.StoreAnswer_NOT_DONE
 	case errors.Is(err, platform.ErrUnavailable):
 		a.Outcome = peerpb.StoreAnswer_UNKNOWN
@@ -91,7 +91,7 @@
 	case peerpb.StoreAnswer_HISTORY_GONE:
 		return platform.ErrHistoryGone
 	case peerpb.StoreAnswer_NOT_DONE:
-		return fmt.Errorf("%w: by a peer: %s", platform.ErrNotDone, a.GetError())
+		return fmt.Errorf("%w: by a peer: %s", platform.ErrNotApplied, a.GetError())
 	case peerpb.StoreAnswer_REFUSED:
 		return fmt.Errorf("platform: refused: by a peer: %s", a.GetError())
 	}
--- a/pkg/peer/storeclient.go
+++ b/pkg/peer/storeclient.go
@@ -101,11 +101,11 @@
 func (c *StoreClient) call(ctx context.Context, call *peerpb.StoreCall) (*peerpb.StoreAnswer, error) {
 	session, err := c.Sessions.Open(ctx, c.Address)
 	if err != nil {
-		return nil, fmt.Errorf("%w: peer %s: %v", platform.ErrNotDone, c.Address, err)
+		return nil, fmt.Errorf("%w: peer %s: %v", platform.ErrNotApplied, c.Address, err)
 	}
 	stream, err := session.Open()
 	if err != nil {
-		return nil, fmt.Errorf("%w: peer %s: %v", platform.ErrNotDone, c.Address, err)
+		return nil, fmt.Errorf("%w: peer %s: %v", platform.ErrNotApplied, c.Address, err)
 	}
 	defer stream.Close()
 	stop := context.AfterFunc(ctx, func() { stream.Close() })
--- a/pkg/peer/storeserver.go
+++ b/pkg/peer/storeserver.go
@@ -63,7 +63,7 @@
 	case s.room <- struct{}{}:
 		defer func() { <-s.room }()
 	default:
-		return failed(fmt.Errorf("%w: %w", platform.ErrNotDone, errBusy))
+		return failed(fmt.Errorf("%w: %w", platform.ErrNotApplied, errBusy))
 	}
 	a := &peerpb.StoreAnswer{}
 	if err := s.carryOut(ctx, call, a); err != nil {
--- a/pkg/peer/watch.go
+++ b/pkg/peer/watch.go
@@ -31,30 +31,30 @@
 	After uint64
 }
 
-// TableNews is what has become of a watched table.
-type TableNews struct {
+// TableUpdate is what has become of a watched table.
+type TableUpdate struct {
 	Table string
 	// Reset means that Changes hold the whole table.
 	Reset   bool
 	Changes []platform.Change
 	// Version is the one up to which the table is known with Changes.
 	Version uint64
-	// Lost means that the peer could not ask the store lately.
-	Lost bool
+	// Unavailable means that the peer could not ask the store lately.
+	Unavailable bool
 }
 
-// News is what a peer tells its watchers, and a sign that it lives.
-type News struct {
-	Tables []TableNews
+// WatchUpdate is what a peer tells its watchers, and a sign that it lives.
+type WatchUpdate struct {
+	Tables []TableUpdate
 	// Full means that the peer has no room for another watcher.
 	Full bool
 	// Leaving means that the peer is about to stop.
 	Leaving bool
 }
 
-// AnyLost reports whether the peer has lost the store for any of the tables.
-func (n News) AnyLost() bool {
-	return slices.ContainsFunc(n.Tables, func(t TableNews) bool { return t.Lost })
+// AnyUnavailable reports whether the peer has lost the store for any of the tables.
+func (n WatchUpdate) AnyUnavailable() bool {
+	return slices.ContainsFunc(n.Tables, func(t TableUpdate) bool { return t.Unavailable })
 }
 
 // Link is a connection to a peer for watches alone.
@@ -75,8 +75,8 @@
 // Close ends the watches of the link.
 func (l *Link) Close() { l.session.Close() }
 
-// Watcher reads the answers to one watch.
-type Watcher struct {
+// WatchStream reads the answers to one watch.
+type WatchStream struct {
 	stream net.Conn
 	tables []WatchedTable
 	read   *byteReader
@@ -85,7 +85,7 @@
 }
 
 // Watch asks the peer for what changes in tables. The caller closes the Watcher.
-func (l *Link) Watch(tables []WatchedTable) (*Watcher, error) {
+func (l *Link) Watch(tables []WatchedTable) (*WatchStream, error) {
 	stream, err := l.session.Open()
 	if err != nil {
 		return nil, fmt.Errorf("peer %s: %w", l.address, err)
@@ -98,23 +98,23 @@
 		stream.Close()
 		return nil, fmt.Errorf("peer %s: %w", l.address, err)
 	}
-	return &Watcher{stream: stream, tables: tables, read: newByteReader(stream), begun: map[uint32][]platform.Change{}}, nil
+	return &WatchStream{stream: stream, tables: tables, read: newByteReader(stream), begun: map[uint32][]platform.Change{}}, nil
 }
 
 // Next returns the next news, which come within a time if the peer lives. Tables of
 // which a part of the rows has come are told with the last part.
-func (w *Watcher) Next(within time.Duration) (News, error) {
+func (w *WatchStream) Next(within time.Duration) (WatchUpdate, error) {
 	if err := w.stream.SetReadDeadline(time.Now().Add(within)); err != nil {
-		return News{}, err
+		return WatchUpdate{}, err
 	}
 	a := &peerpb.WatchAnswer{}
 	if err := (protodelim.UnmarshalOptions{MaxSize: maxMessage}).UnmarshalFrom(w.read, a); err != nil {
-		return News{}, err
+		return WatchUpdate{}, err
 	}
-	n := News{Full: a.GetFull(), Leaving: a.GetLeaving()}
+	n := WatchUpdate{Full: a.GetFull(), Leaving: a.GetLeaving()}
 	for _, t := range a.GetTables() {
 		if int(t.GetIndex()) >= len(w.tables) {
-			return News{}, errors.New("peer: news of a table that was not asked for")
+			return WatchUpdate{}, errors.New("peer: news of a table that was not asked for")
 		}
 		changes := w.begun[t.GetIndex()]
 		for _, r := range t.GetRows() {
@@ -125,19 +125,19 @@
 			continue
 		}
 		delete(w.begun, t.GetIndex())
-		n.Tables = append(n.Tables, TableNews{Table: w.tables[t.GetIndex()].Table, Reset: t.GetWhole(), Changes: changes, Version: t.GetVersion(), Lost: t.GetLost()})
+		n.Tables = append(n.Tables, TableUpdate{Table: w.tables[t.GetIndex()].Table, Reset: t.GetWhole(), Changes: changes, Version: t.GetVersion(), Unavailable: t.GetLost()})
 	}
 	return n, nil
 }
 
 // Close ends the watch.
-func (w *Watcher) Close() { w.stream.Close() }
+func (w *WatchStream) Close() { w.stream.Close() }
 
 // WatchServer answers a watch: it calls send with all tables first, and then with those
 // that have changed, until ctx ends, send fails or it has nothing to tell, and returns
 // which.
 type WatchServer interface {
-	Watch(ctx context.Context, tables []WatchedTable, send func(News) error) error
+	Watch(ctx context.Context, tables []WatchedTable, send func(WatchUpdate) error) error
 }
 
 // serveWatch has the server answer a watch on a stream.
@@ -149,7 +149,7 @@
 		index[t.GetTable()] = uint32(i)
 	}
 	// Why it ended is of no use here: the watcher sees the end of the stream.
-	_ = server.Watch(ctx, tables, func(n News) error {
+	_ = server.Watch(ctx, tables, func(n WatchUpdate) error {
 		for a := range answersOf(n, index) {
 			if err := stream.SetWriteDeadline(time.Now().Add(newsWriteTimeout)); err != nil {
 				return err
@@ -164,12 +164,12 @@
 
 // answersOf returns the messages that tell n: one, or more if there are many rows. They
 // are made one after the other, as there may be whole tables to tell to many at once.
-func answersOf(n News, index map[string]uint32) iter.Seq[*peerpb.WatchAnswer] {
+func answersOf(n WatchUpdate, index map[string]uint32) iter.Seq[*peerpb.WatchAnswer] {
 	return func(yield func(*peerpb.WatchAnswer) bool) {
 		a := &peerpb.WatchAnswer{Full: n.Full, Leaving: n.Leaving}
 		size := 0
 		for _, t := range n.Tables {
-			news := &peerpb.TableNews{Index: index[t.Table], Whole: t.Reset, Version: t.Version, Lost: t.Lost}
+			news := &peerpb.TableNews{Index: index[t.Table], Whole: t.Reset, Version: t.Version, Lost: t.Unavailable}
 			a.Tables = append(a.Tables, news)
 			for _, ch := range t.Changes {
 				if size >= newsBytes {
@@ -177,7 +177,7 @@
 					if !yield(a) {
 						return
 					}
-					news = &peerpb.TableNews{Index: news.Index, Whole: t.Reset, Version: t.Version, Lost: t.Lost}
+					news = &peerpb.TableNews{Index: news.Index, Whole: t.Reset, Version: t.Version, Lost: t.Unavailable}
 					a, size = &peerpb.WatchAnswer{Leaving: n.Leaving, Tables: []*peerpb.TableNews{news}}, 0
 				}
 				r := storedRow(ch.Row)
--- a/pkg/platform/changes.go
+++ b/pkg/platform/changes.go
@@ -20,9 +20,9 @@
 	Version uint64
 }
 
-// ErrNotDone is returned for a call that the platform refused or that never
+// ErrNotApplied is returned for a call that the platform refused or that never
 // reached it, so that nothing was done. It is an ErrUnavailable.
-var ErrNotDone = fmt.Errorf("%w: nothing was done", ErrUnavailable)
+var ErrNotApplied = fmt.Errorf("%w: nothing was done", ErrUnavailable)
 
 // ErrHistoryGone is returned by Changes for a version whose
 // history the platform no longer has: the table must be read again.
--- a/pkg/platform/client.go
+++ b/pkg/platform/client.go
@@ -23,8 +23,8 @@
 	return &Client{server: httpjson.NewClient(base, hc)}
 }
 
-// Within returns a Client like c that gives each call up after timeout.
-func (c *Client) Within(timeout time.Duration) *Client {
+// WithTimeout returns a Client like c that gives each call up after timeout.
+func (c *Client) WithTimeout(timeout time.Duration) *Client {
 	bounded := *c
 	bounded.timeout = timeout
 	return &bounded
@@ -44,8 +44,8 @@
 	return r.Rows, err
 }
 
-// ScanSome returns the first rows, up to limit, that Scan would return.
-func (c *Client) ScanSome(ctx context.Context, prefix string, limit int) ([]Row, error) {
+// ScanLimit returns the first rows, up to limit, that Scan would return.
+func (c *Client) ScanLimit(ctx context.Context, prefix string, limit int) ([]Row, error) {
 	var r ScanResult
 	err := c.do(ctx, http.MethodGet, fmt.Sprintf("/v1/rows?prefix=%s&limit=%d", url.QueryEscape(prefix), limit), nil, &r)
 	return r.Rows, err
--- a/pkg/platform/platformtest/server.go
+++ b/pkg/platform/platformtest/server.go
@@ -28,8 +28,8 @@
 	// LosePrefix, if set, limits LoseReplies to commits that write a key
 	// with this prefix.
 	LosePrefix string `json:"lose_prefix"`
-	// OldReads answers reads of rows from the rows as Remember found them.
-	OldReads bool `json:"old_reads"`
+	// StaleReads answers reads of rows from the rows as Remember found them.
+	StaleReads bool `json:"old_reads"`
 }
 
 // Stats counts the calls the stand-in has served.
@@ -205,8 +205,8 @@
 	httpjson.Write(w, http.StatusOK, platform.ScanResult{Rows: rows})
 }
 
-// Remember keeps the rows as they are now for OldReads to answer from.
-func (s *Server) Remember() {
+// SnapshotRows keeps the rows as they are now for OldReads to answer from.
+func (s *Server) SnapshotRows() {
 	s.mu.Lock()
 	s.old = maps.Clone(s.rows)
 	s.mu.Unlock()
@@ -214,7 +214,7 @@
 
 // readable returns the rows that reads see now.
 func (s *Server) readable() map[string]platform.Row {
-	if s.faults.OldReads {
+	if s.faults.StaleReads {
 		return s.old
 	}
 	return s.rows
--- a/pkg/quarantine/decide.go
+++ b/pkg/quarantine/decide.go
@@ -46,14 +46,14 @@
 // ended at the same moment; nor where another content did that has ended maxEnds upstreams
 // and more than this one: so requests that were sent on together with one that crashes
 // upstreams are told from it.
-func (l *Ledger) unexplained(f Fingerprint) int {
-	own, n := l.Ends(f), 0
+func (l *CrashTracker) unexplained(f Fingerprint) int {
+	own, n := l.Crashes(f), 0
 	for fact, s := range l.contents[f].facts {
-		if fact.Kind != End || s.void || !l.likely(f, s) {
+		if fact.Kind != Crash || s.void || !l.likely(f, s) {
 			continue
 		}
-		explained := slices.ContainsFunc(l.under[fact.Of], func(other Fingerprint) bool {
-			ends := l.Ends(other)
+		explained := slices.ContainsFunc(l.under[fact.Subject], func(other Fingerprint) bool {
+			ends := l.Crashes(other)
 			return ends >= maxEnds && ends > own
 		})
 		if !explained {
@@ -63,15 +63,15 @@
 	return n
 }
 
-func (l *Ledger) inQuarantine(f Fingerprint) bool {
-	ends := l.Ends(f)
+func (l *CrashTracker) inQuarantine(f Fingerprint) bool {
+	ends := l.Crashes(f)
 	return ends >= maxEnds+maxRetries || ends >= maxEnds && l.unexplained(f) >= maxEnds
 }
 
 // Decide returns what may be done at now with a request of a content. It answers the
 // load of a request that crashes the upstreams that run it and comes again at any
 // instance: after maxEnds of them it runs maxRetries times more at the most.
-func (l *Ledger) Decide(f Fingerprint, now time.Time) Decision {
+func (l *CrashTracker) Decide(f Fingerprint, now time.Time) Decision {
 	if !l.inQuarantine(f) {
 		return Decision{}
 	}
@@ -80,7 +80,7 @@
 	switch {
 	case !now.Before(expiresAt):
 		return Decision{}
-	case l.Ends(f)-maxEnds+trials >= maxRetries:
+	case l.Crashes(f)-maxEnds+trials >= maxRetries:
 		return Decision{RefusedUntil: expiresAt}
 	}
 	pause := firstTrialAfter
@@ -99,10 +99,10 @@
 
 // compare notes, of each content under which an upstream has ended lately, the other
 // upstreams that have ended at the same moment.
-func (l *Ledger) compare() {
+func (l *CrashTracker) compare() {
 	for start := range l.lately {
 		for _, f := range l.under[start] {
-			s := l.contents[f].facts[Fact{Content: f, Kind: End, Of: start}]
+			s := l.contents[f].facts[Fact{Content: f, Kind: Crash, Subject: start}]
 			for other := range l.lately {
 				if len(s.apart) < maxApart && !l.ranAt(f, other) && !slices.Contains(s.apart, other) {
 					s.apart = append(s.apart, other)
@@ -115,12 +115,12 @@
 // likely reports whether a content is likely to have caused the end that s stands for.
 // Other instances may have told since that it ran at an upstream that ended at the same
 // moment.
-func (l *Ledger) likely(f Fingerprint, s *standing) bool {
+func (l *CrashTracker) likely(f Fingerprint, s *standing) bool {
 	return !s.unlikely && !slices.ContainsFunc(s.apart, func(start string) bool { return !l.ranAt(f, start) })
 }
 
 // ranAt reports whether a content may have run at a start that has ended.
-func (l *Ledger) ranAt(f Fingerprint, start string) bool {
-	s := l.contents[f].facts[Fact{Content: f, Kind: End, Of: start}]
+func (l *CrashTracker) ranAt(f Fingerprint, start string) bool {
+	s := l.contents[f].facts[Fact{Content: f, Kind: Crash, Subject: start}]
 	return s != nil && !s.tooSoon
 }
--- a/pkg/quarantine/fact.go
+++ b/pkg/quarantine/fact.go
@@ -11,7 +11,7 @@
 
 // The kinds of facts.
 const (
-	End   Kind = "end"   // an upstream ended while it ran the content
+	Crash Kind = "end"   // an upstream ended while it ran the content
 	Trial Kind = "trial" // an instance has claimed a trial of the content
 )
 
@@ -19,25 +19,25 @@
 type Fact struct {
 	Content Fingerprint
 	Kind    Kind
-	Of      string // the start of the upstream, or the number of the trial
+	Subject string // the start of the upstream, or the number of the trial
 }
 
 // trial returns the fact that a content's trial of a number, from 1 on, is claimed.
 func trial(f Fingerprint, number int) Fact {
-	return Fact{Content: f, Kind: Trial, Of: strconv.Itoa(number)}
+	return Fact{Content: f, Kind: Trial, Subject: strconv.Itoa(number)}
 }
 
 // Key returns the part of the fact's key that identifies it.
-func (f Fact) Key() string { return f.Content.String() + "/" + string(f.Kind) + "/" + f.Of }
+func (f Fact) Key() string { return f.Content.String() + "/" + string(f.Kind) + "/" + f.Subject }
 
 // ParseKey reads what Key returned.
 func ParseKey(key string) (Fact, error) {
 	parts := strings.SplitN(key, "/", 3)
-	if len(parts) != 3 || parts[2] == "" || Kind(parts[1]) != End && Kind(parts[1]) != Trial {
+	if len(parts) != 3 || parts[2] == "" || Kind(parts[1]) != Crash && Kind(parts[1]) != Trial {
 		return Fact{}, fmt.Errorf("quarantine: %q is no fact", key)
 	}
 	content, err := ParseFingerprint(parts[0])
-	return Fact{Content: content, Kind: Kind(parts[1]), Of: parts[2]}, err
+	return Fact{Content: content, Kind: Kind(parts[1]), Subject: parts[2]}, err
 }
 
 // Row is a fact as the platform's store has it.
@@ -48,6 +48,6 @@
 	// Of an end: that the content ran for too short or too long to be likely to have
 	// caused it, and the starts of upstreams that ended at the same moment and did not run
 	// it, as far as the writer knew.
-	Unlikely bool
-	Apart    []string
+	UnlikelyCause    bool
+	UnrelatedCrashes []string
 }
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -43,23 +43,23 @@
 
 // The outcomes of attempts.
 const (
-	NotRun      Outcome = iota // the upstream did not run it
-	Unreachable                // nor does it take connections
-	Answered                   // the upstream answered it
-	Failed                     // the upstream answered with a failure
-	Broken                     // its connection ended without a whole answer
-	Left                       // it was given up here without an answer
+	NotRun         Outcome = iota // the upstream did not run it
+	Unreachable                   // nor does it take connections
+	Answered                      // the upstream answered it
+	Failed                        // the upstream answered with a failure
+	ConnectionLost                // its connection ended without a whole answer
+	Abandoned                     // it was given up here without an answer
 )
 
-// ErrClaimed is returned by a Config's Claim for a trial that is claimed already.
-var ErrClaimed = errors.New("quarantine: another instance has the trial")
+// ErrTrialClaimed is returned by a Config's Claim for a trial that is claimed already.
+var ErrTrialClaimed = errors.New("quarantine: another instance has the trial")
 
 // Event is something that a Guard found or decided, for the log.
 type Event struct {
 	What     string
 	Content  Fingerprint
 	Upstream string // its ID; empty for none
-	Ends     int    // of upstreams under the content
+	Crashes  int    // of upstreams under the content
 	// Unexplained is how many of the ends nothing else explains.
 	Unexplained int
 	Trials      int // that it has had
@@ -68,20 +68,20 @@
 
 // Config configures a Guard.
 type Config struct {
-	// Gone reports whether an upstream takes no connection as nothing listens at its
+	// NotListening reports whether an upstream takes no connection as nothing listens at its
 	// address.
-	Gone func(ctx context.Context, e upstream.Entry) bool
-	// Leaving reports whether an upstream leaves by its own account.
-	Leaving func(e upstream.Entry) bool
-	// Claim claims a trial for this instance and returns the version of its row, or
+	NotListening func(ctx context.Context, e upstream.Entry) bool
+	// IsLeaving reports whether an upstream leaves by its own account.
+	IsLeaving func(e upstream.Entry) bool
+	// ClaimTrial claims a trial for this instance and returns the version of its row, or
 	// ErrClaimed.
-	Claim func(ctx context.Context, trial Fact) (uint64, error)
-	// Start starts a goroutine.
-	Start func(func() error)
-	// Changed is told when there may be rows to write.
-	Changed func()
-	// Observe is told what happens.
-	Observe func(Event)
+	ClaimTrial func(ctx context.Context, trial Fact) (uint64, error)
+	// Go starts a goroutine.
+	Go func(func() error)
+	// OnChange is told when there may be rows to write.
+	OnChange func()
+	// OnEvent is told what happens.
+	OnEvent func(Event)
 }
 
 // Guard lets requests through to upstreams. A nil Guard lets all through. It is safe
@@ -94,7 +94,7 @@
 	probing atomic.Int64 // how many probes there are
 
 	mu     sync.Mutex
-	ledger *Ledger
+	ledger *CrashTracker
 	probes map[string]*probe        // by the upstream's start
 	left   map[string][]leftRequest // by the upstream's start
 	ended  map[string]startEnds     // by the upstream's start
@@ -103,7 +103,7 @@
 
 // NewGuard returns a Guard that knows nothing.
 func NewGuard(cfg Config) *Guard {
-	return &Guard{cfg: cfg, ledger: NewLedger(), probes: map[string]*probe{}, left: map[string][]leftRequest{},
+	return &Guard{cfg: cfg, ledger: NewCrashTracker(), probes: map[string]*probe{}, left: map[string][]leftRequest{},
 		ended: map[string]startEnds{}, held: map[Fingerprint]bool{}}
 }
 
@@ -126,12 +126,12 @@
 	if d.RefusedUntil.IsZero() {
 		return nil
 	}
-	g.cfg.Observe(Event{What: "request refused", Content: f, Ends: g.ledger.Ends(f), Trials: g.ledger.Trials(f)})
+	g.cfg.OnEvent(Event{What: "request refused", Content: f, Crashes: g.ledger.Crashes(f), Trials: g.ledger.Trials(f)})
 	return &RefusedError{Until: d.RefusedUntil}
 }
 
-// OnTrial reports whether a request of content c runs as a trial only at now.
-func (g *Guard) OnTrial(c Content, now time.Time) bool {
+// NeedsTrial reports whether a request of content c runs as a trial only at now.
+func (g *Guard) NeedsTrial(c Content, now time.Time) bool {
 	if g == nil || g.known.Load() == 0 {
 		return false
 	}
@@ -168,19 +168,19 @@
 func (g *Guard) claim(ctx context.Context, f Fingerprint, number int, to upstream.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, claimTime)
 	defer cancel()
-	version, err := g.cfg.Claim(ctx, trial(f, number))
+	version, err := g.cfg.ClaimTrial(ctx, trial(f, number))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	if err == nil || errors.Is(err, ErrClaimed) {
-		g.ledger.Claimed(f, number, version, now)
+	if err == nil || errors.Is(err, ErrTrialClaimed) {
+		g.ledger.RecordTrial(f, number, version, now)
 	}
-	g.cfg.Observe(Event{What: "trial", Content: f, Upstream: to.ID, Ends: g.ledger.Ends(f), Trials: number, Err: err})
+	g.cfg.OnEvent(Event{What: "trial", Content: f, Upstream: to.ID, Crashes: g.ledger.Crashes(f), Trials: number, Err: err})
 	if err == nil {
 		return nil
 	}
 	until := now.Add(claimedPause)
-	g.ledger.Postponed(f, until)
+	g.ledger.PostponeTrial(f, until)
 	return &RefusedError{Until: until, Err: err}
 }
 
@@ -206,9 +206,9 @@
 		a.guard.answered(a.content)
 	case Failed, NotRun:
 		a.guard.heard(a)
-	case Broken:
+	case ConnectionLost:
 		a.guard.broken(ctx, a)
-	case Left:
+	case Abandoned:
 		a.guard.leave(a, time.Now())
 	case Unreachable:
 		a.guard.unreachable(a.to)
@@ -223,7 +223,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ledger.Returned(a.content.Fingerprint(), a.trial)
+	g.ledger.ReturnTrial(a.content.Fingerprint(), a.trial)
 	g.settle()
 }
 
@@ -234,10 +234,10 @@
 	f := c.Fingerprint()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ends := g.ledger.Ends(f)
-	if ends == 0 || !g.ledger.Answered(f) {
+	ends := g.ledger.Crashes(f)
+	if ends == 0 || !g.ledger.RecordAnswer(f) {
 		return
 	}
 	g.settle()
-	g.cfg.Observe(Event{What: "request answered", Content: f, Ends: ends})
+	g.cfg.OnEvent(Event{What: "request answered", Content: f, Crashes: ends})
 }
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -28,21 +28,21 @@
 func newGuarded(t *testing.T) *guarded {
 	g := &guarded{}
 	g.Guard = quarantine.NewGuard(quarantine.Config{
-		Gone: func(context.Context, upstream.Entry) bool {
+		NotListening: func(context.Context, upstream.Entry) bool {
 			g.probes.Add(1)
 			return g.gone.Load()
 		},
-		Leaving: func(upstream.Entry) bool { return g.leaving.Load() },
-		Claim: func(context.Context, quarantine.Fact) (uint64, error) {
+		IsLeaving: func(upstream.Entry) bool { return g.leaving.Load() },
+		ClaimTrial: func(context.Context, quarantine.Fact) (uint64, error) {
 			n := g.claims.Add(1)
 			if err := g.claim.Load(); err != nil {
 				return 0, *err
 			}
 			return uint64(n), nil
 		},
-		Start:   func(f func() error) { g.group.Go(f) },
-		Changed: func() {},
-		Observe: func(quarantine.Event) {},
+		Go:       func(f func() error) { g.group.Go(f) },
+		OnChange: func() {},
+		OnEvent:  func(quarantine.Event) {},
 	})
 	t.Cleanup(func() { _ = g.group.Wait() }) // its functions return nil
 	return g
@@ -72,7 +72,7 @@
 		if err := g.Check(c, time.Now()); err != nil {
 			t.Fatalf("refused after %d ends: %v", i, err)
 		}
-		if err := g.run(c, i, quarantine.Broken); err != nil {
+		if err := g.run(c, i, quarantine.ConnectionLost); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -92,24 +92,24 @@
 	for name, break3 := range map[string]func(g *guarded){
 		"reset": func(g *guarded) {
 			for i := range 3 {
-				_ = g.run(c, i, quarantine.Broken)
+				_ = g.run(c, i, quarantine.ConnectionLost)
 			}
 		},
 		"leaving": func(g *guarded) {
 			g.gone.Store(true)
 			g.leaving.Store(true)
 			for i := range 3 {
-				_ = g.run(c, i, quarantine.Broken)
+				_ = g.run(c, i, quarantine.ConnectionLost)
 			}
 		},
 		"sent later": func(g *guarded) {
 			g.gone.Store(true)
 			for i := range 3 {
-				_ = g.run(quarantine.Content{URI: "/cause"}, i, quarantine.Broken)
+				_ = g.run(quarantine.Content{URI: "/cause"}, i, quarantine.ConnectionLost)
 			}
 			g.settle()
 			for i := range 3 {
-				_ = g.run(c, i, quarantine.Broken)
+				_ = g.run(c, i, quarantine.ConnectionLost)
 			}
 		},
 		"answers": func(g *guarded) {
@@ -134,7 +134,7 @@
 // ended: each connection is paid for.
 func TestUpstreamThatAnswersIsNotProbed(t *testing.T) {
 	g := newGuarded(t)
-	_ = g.run(quarantine.Content{URI: "/a"}, 1, quarantine.Broken)
+	_ = g.run(quarantine.Content{URI: "/a"}, 1, quarantine.ConnectionLost)
 	_ = g.run(quarantine.Content{URI: "/b"}, 1, quarantine.Answered)
 	g.settle()
 	if n := g.probes.Load(); n != 0 {
@@ -148,7 +148,7 @@
 	g, c := newGuarded(t), quarantine.Content{URI: "/poison"}
 	g.gone.Store(true)
 	for i := range 3 {
-		_ = g.run(c, i, quarantine.Left)
+		_ = g.run(c, i, quarantine.Abandoned)
 		_ = g.run(quarantine.Content{URI: "/other"}, i, quarantine.Unreachable)
 	}
 	g.settle()
@@ -160,11 +160,11 @@
 // A trial that cannot be claimed, as another instance has it or the store is away, is
 // not run, and not asked for again at once.
 func TestTrialWithoutClaimIsNotRun(t *testing.T) {
-	for _, cause := range []error{quarantine.ErrClaimed, errors.New("store away")} {
+	for _, cause := range []error{quarantine.ErrTrialClaimed, errors.New("store away")} {
 		g, c := newGuarded(t), quarantine.Content{URI: "/poison"}
 		rows := make([]quarantine.Row, 3)
 		for i := range rows {
-			rows[i] = quarantine.Row{Fact: quarantine.Fact{Content: c.Fingerprint(), Kind: quarantine.End, Of: fmt.Sprint(i)}, Version: uint64(i + 1)}
+			rows[i] = quarantine.Row{Fact: quarantine.Fact{Content: c.Fingerprint(), Kind: quarantine.Crash, Subject: fmt.Sprint(i)}, Version: uint64(i + 1)}
 		}
 		g.Apply(rows, true, time.Now().Add(-time.Minute))
 		g.claim.Store(&cause)
@@ -185,7 +185,7 @@
 	g, c := newGuarded(t), quarantine.Content{URI: "/bystander"}
 	rows := make([]quarantine.Row, 3)
 	for i := range rows {
-		rows[i] = quarantine.Row{Fact: quarantine.Fact{Content: c.Fingerprint(), Kind: quarantine.End, Of: fmt.Sprint(i)}, Version: uint64(i + 1)}
+		rows[i] = quarantine.Row{Fact: quarantine.Fact{Content: c.Fingerprint(), Kind: quarantine.Crash, Subject: fmt.Sprint(i)}, Version: uint64(i + 1)}
 	}
 	g.Apply(rows, true, time.Now().Add(-time.Hour))
 	for n := range 5 {
@@ -196,7 +196,7 @@
 		if len(pending.Delete) != 1 || pending.Delete[0].Kind != quarantine.Trial {
 			t.Fatalf("rows to delete %+v, want the trial's", pending.Delete)
 		}
-		g.Dropped(pending.Delete[0].Fact)
+		g.MarkDeleted(pending.Delete[0].Fact)
 		time.Sleep(1100 * time.Millisecond)
 	}
 	if err := g.run(c, 1, quarantine.Answered); err != nil {
--- a/pkg/quarantine/keeper.go
+++ b/pkg/quarantine/keeper.go
@@ -23,33 +23,33 @@
 	batchRows = 50
 )
 
-// KeeperConfig configures a Keeper.
-type KeeperConfig struct {
+// SyncerConfig configures a Keeper.
+type SyncerConfig struct {
 	Guard Config // its Claim and Changed are the Keeper's
 	// Commit writes rows of the platform's store.
 	Commit func(ctx context.Context, ops ...platform.Op) ([]platform.Row, error)
 	// Prefix begins the keys of the rows.
 	Prefix string
-	// By is the start of the instance, for those who read the rows.
-	By string
-	// Sweeps reports whether this instance deletes the rows that nobody needs.
-	Sweeps func() bool
-	// Failed is told of a write that failed.
-	Failed func(rows int, err error)
+	// Writer is the start of the instance, for those who read the rows.
+	Writer string
+	// IsSweeper reports whether this instance deletes the rows that nobody needs.
+	IsSweeper func() bool
+	// OnWriteError is told of a write that failed.
+	OnWriteError func(rows int, err error)
 }
 
-// Keeper keeps the facts of a Guard as rows of the platform's store. Whoever reads the
+// Syncer keeps the facts of a Guard as rows of the platform's store. Whoever reads the
 // rows hands them to Learn.
-type Keeper struct {
+type Syncer struct {
 	Guard *Guard
-	cfg   KeeperConfig
+	cfg   SyncerConfig
 	wake  clock.Wakeup
 }
 
-// NewKeeper returns a Keeper and its Guard. Call Run.
-func NewKeeper(cfg KeeperConfig) *Keeper {
-	k := &Keeper{cfg: cfg, wake: clock.NewWakeup()}
-	cfg.Guard.Claim, cfg.Guard.Changed = k.claim, k.wake.Ring
+// NewSyncer returns a Keeper and its Guard. Call Run.
+func NewSyncer(cfg SyncerConfig) *Syncer {
+	k := &Syncer{cfg: cfg, wake: clock.NewWakeup()}
+	cfg.Guard.ClaimTrial, cfg.Guard.OnChange = k.claim, k.wake.Signal
 	k.Guard = NewGuard(cfg.Guard)
 	return k
 }
@@ -62,12 +62,12 @@
 	Apart    []string  `json:"apart,omitempty"`
 }
 
-func (k *Keeper) put(r Row) (platform.Op, error) {
-	return platform.Put(k.cfg.Prefix+r.Key(), 0, rowValue{At: time.Now(), By: k.cfg.By, Unlikely: r.Unlikely, Apart: r.Apart})
+func (k *Syncer) put(r Row) (platform.Op, error) {
+	return platform.Put(k.cfg.Prefix+r.Key(), 0, rowValue{At: time.Now(), By: k.cfg.Writer, Unlikely: r.UnlikelyCause, Apart: r.UnrelatedCrashes})
 }
 
 // claim implements Config's Claim.
-func (k *Keeper) claim(ctx context.Context, trial Fact) (uint64, error) {
+func (k *Syncer) claim(ctx context.Context, trial Fact) (uint64, error) {
 	op, err := k.put(Row{Fact: trial})
 	if err != nil {
 		return 0, err
@@ -76,7 +76,7 @@
 	var conflict *platform.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		return conflict.Current.Version, ErrClaimed
+		return conflict.Current.Version, ErrTrialClaimed
 	case err != nil:
 		return 0, err
 	}
@@ -85,7 +85,7 @@
 
 // Run writes what the Guard learns, and deletes what it needs no longer, until ctx
 // ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Syncer) Run(ctx context.Context) error {
 	sweepAt := time.Now().Add(sweepPeriod)
 	for ctx.Err() == nil {
 		now := time.Now()
@@ -93,13 +93,13 @@
 		if sweep {
 			sweepAt = now.Add(sweepPeriod)
 		}
-		p := k.Guard.Pending(now, sweep && k.cfg.Sweeps())
+		p := k.Guard.Pending(now, sweep && k.cfg.IsSweeper())
 		wait := sweepAt.Sub(now)
 		if !p.NextAt.IsZero() {
 			wait = min(wait, p.NextAt.Sub(now))
 		}
 		if err := k.write(ctx, p); err != nil {
-			k.cfg.Failed(len(p.Put)+len(p.Delete), err)
+			k.cfg.OnWriteError(len(p.Put)+len(p.Delete), err)
 			wait = min(wait, writePause)
 		}
 		k.wake.Wait(ctx, wait)
@@ -108,7 +108,7 @@
 }
 
 // write writes what is pending.
-func (k *Keeper) write(ctx context.Context, p Pending) error {
+func (k *Syncer) write(ctx context.Context, p Pending) error {
 	ops := make([]platform.Op, 0, len(p.Put)+len(p.Delete))
 	facts := make(map[string]Fact, cap(ops))
 	for _, r := range p.Put {
@@ -141,7 +141,7 @@
 // commit commits ops, and tells the Guard which of their facts are shared or gone. A
 // row that another instance has written or deleted meanwhile ends it with a conflict,
 // and is settled.
-func (k *Keeper) commit(ctx context.Context, ops []platform.Op, facts map[string]Fact) error {
+func (k *Syncer) commit(ctx context.Context, ops []platform.Op, facts map[string]Fact) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
 	rows, err := k.cfg.Commit(ctx, ops...)
@@ -165,12 +165,12 @@
 
 // settled tells the Guard that a fact's row has the version given, or is gone if that
 // is zero.
-func (k *Keeper) settled(f Fact, version uint64) {
+func (k *Syncer) settled(f Fact, version uint64) {
 	if version == 0 {
-		k.Guard.Dropped(f)
+		k.Guard.MarkDeleted(f)
 		return
 	}
-	k.Guard.Shared(f, version)
+	k.Guard.MarkShared(f, version)
 }
 
 func without(ops []platform.Op, key string) []platform.Op {
@@ -185,14 +185,14 @@
 
 // Update is what was read of a table: the rows of facts in it, and the other rows.
 type Update struct {
-	Rows       []Row
-	Others     []platform.Change
-	Unreadable []error // of keys that tell no fact
+	Rows         []Row
+	Others       []platform.Change
+	DecodeErrors []error // of keys that tell no fact
 }
 
-// Split parts changes of a table into rows of facts, whose keys begin with prefix, and
+// SplitChanges parts changes of a table into rows of facts, whose keys begin with prefix, and
 // others.
-func Split(changes []platform.Change, prefix string) Update {
+func SplitChanges(changes []platform.Change, prefix string) Update {
 	var u Update
 	for _, ch := range changes {
 		key, ok := strings.CutPrefix(ch.Key, prefix)
@@ -202,7 +202,7 @@
 		}
 		r, err := parseRow(key, ch)
 		if err != nil {
-			u.Unreadable = append(u.Unreadable, err)
+			u.DecodeErrors = append(u.DecodeErrors, err)
 			continue
 		}
 		u.Rows = append(u.Rows, r)
@@ -221,6 +221,6 @@
 	if err := json.Unmarshal(ch.Value, &v); err != nil {
 		return r, fmt.Errorf("quarantine: %s: %w", key, err)
 	}
-	r.Unlikely, r.Apart = v.Unlikely, v.Apart
+	r.UnlikelyCause, r.UnrelatedCrashes = v.Unlikely, v.Apart
 	return r, nil
 }
--- a/pkg/quarantine/ledger.go
+++ b/pkg/quarantine/ledger.go
@@ -22,10 +22,10 @@
 	maxFacts = 32
 )
 
-// Ledger counts the upstreams that ended under contents. It is not safe for
+// CrashTracker counts the upstreams that ended under contents. It is not safe for
 // concurrent use. Its times are those at which facts were learned here, so that
 // instances' clocks need not agree.
-type Ledger struct {
+type CrashTracker struct {
 	contents map[Fingerprint]*content
 	under    map[string][]Fingerprint // contents, by the start of the upstream that ended under them
 	lately   map[string]time.Time     // when upstreams ended, by their start, as found here within sameMoment
@@ -50,23 +50,23 @@
 	apart    []string  // starts that ended at the same moment and did not run the content, as found here
 }
 
-// NewLedger returns an empty Ledger.
-func NewLedger() *Ledger {
-	return &Ledger{contents: map[Fingerprint]*content{}, under: map[string][]Fingerprint{}, lately: map[string]time.Time{}}
+// NewCrashTracker returns an empty Ledger.
+func NewCrashTracker() *CrashTracker {
+	return &CrashTracker{contents: map[Fingerprint]*content{}, under: map[string][]Fingerprint{}, lately: map[string]time.Time{}}
 }
 
 // Len returns how many contents are remembered.
-func (l *Ledger) Len() int { return len(l.contents) }
+func (l *CrashTracker) Len() int { return len(l.contents) }
 
-// Lost is a content that was at an upstream when that ended.
-type Lost struct {
+// Interrupted is a content that was at an upstream when that ended.
+type Interrupted struct {
 	Content Fingerprint
 	RanFor  time.Duration // since it was sent there
 }
 
-// Ended tells that the start of an upstream was found at now to have ended, and which
+// RecordCrash tells that the start of an upstream was found at now to have ended, and which
 // contents were there. It returns those of which that was not known.
-func (l *Ledger) Ended(lost []Lost, start string, now time.Time) []Fingerprint {
+func (l *CrashTracker) RecordCrash(lost []Interrupted, start string, now time.Time) []Fingerprint {
 	for other, at := range l.lately {
 		if now.Sub(at) > sameMoment {
 			delete(l.lately, other)
@@ -75,7 +75,7 @@
 	l.lately[start] = now
 	var added []Fingerprint
 	for _, c := range lost {
-		if s, ok := l.add(Fact{Content: c.Content, Kind: End, Of: start}, now); ok {
+		if s, ok := l.add(Fact{Content: c.Content, Kind: Crash, Subject: start}, now); ok {
 			s.shareAt = now.Add(shareAfter)
 			s.tooSoon = c.RanFor < minCrashTime
 			s.unlikely = s.tooSoon || c.RanFor > maxCrashTime
@@ -86,30 +86,30 @@
 	return added
 }
 
-// Claimed tells that a trial of a content was claimed for this instance at now.
-func (l *Ledger) Claimed(f Fingerprint, number int, version uint64, now time.Time) {
+// RecordTrial tells that a trial of a content was claimed for this instance at now.
+func (l *CrashTracker) RecordTrial(f Fingerprint, number int, version uint64, now time.Time) {
 	s, _ := l.add(trial(f, number), now)
 	s.version, s.sharedAt = version, now
 }
 
-// Returned tells that the request of a trial was not sent.
-func (l *Ledger) Returned(f Fingerprint, number int) {
+// ReturnTrial tells that the request of a trial was not sent.
+func (l *CrashTracker) ReturnTrial(f Fingerprint, number int) {
 	if c := l.contents[f]; c != nil && c.facts[trial(f, number)] != nil {
 		c.facts[trial(f, number)].void = true
 	}
 }
 
-// Postponed tells that a trial of a content could not be claimed, and that the next
+// PostponeTrial tells that a trial of a content could not be claimed, and that the next
 // may be no sooner than until.
-func (l *Ledger) Postponed(f Fingerprint, until time.Time) {
+func (l *CrashTracker) PostponeTrial(f Fingerprint, until time.Time) {
 	if c := l.contents[f]; c != nil {
 		c.trialAfter = until
 	}
 }
 
-// Answered tells that an upstream has answered a content, and reports whether
+// RecordAnswer tells that an upstream has answered a content, and reports whether
 // anything was known of it.
-func (l *Ledger) Answered(f Fingerprint) bool {
+func (l *CrashTracker) RecordAnswer(f Fingerprint) bool {
 	c := l.contents[f]
 	if c == nil {
 		return false
@@ -125,7 +125,7 @@
 }
 
 // Apply takes rows read at now. Reset means that they are all that there are.
-func (l *Ledger) Apply(rows []Row, reset bool, now time.Time) {
+func (l *CrashTracker) Apply(rows []Row, reset bool, now time.Time) {
 	if reset {
 		l.keepOnly(rows, now)
 	}
@@ -135,16 +135,16 @@
 			continue
 		}
 		s, _ := l.add(r.Fact, now)
-		s.version, s.sharedAt, s.unlikely = r.Version, now, s.unlikely || r.Unlikely
+		s.version, s.sharedAt, s.unlikely = r.Version, now, s.unlikely || r.UnlikelyCause
 		if len(s.apart) == 0 {
-			s.apart = r.Apart[:min(len(r.Apart), maxApart)]
+			s.apart = r.UnrelatedCrashes[:min(len(r.UnrelatedCrashes), maxApart)]
 		}
 	}
 }
 
 // keepOnly drops the shared facts that are not among rows, unless their rows may have
 // been written after the reading began that ended at now.
-func (l *Ledger) keepOnly(rows []Row, now time.Time) {
+func (l *CrashTracker) keepOnly(rows []Row, now time.Time) {
 	kept := make(map[Fact]bool, len(rows))
 	for _, r := range rows {
 		kept[r.Fact] = true
@@ -159,7 +159,7 @@
 }
 
 // add adds a fact learned at now, unless it is known.
-func (l *Ledger) add(fact Fact, now time.Time) (s *standing, added bool) {
+func (l *CrashTracker) add(fact Fact, now time.Time) (s *standing, added bool) {
 	c := l.contents[fact.Content]
 	if c == nil {
 		l.makeRoom()
@@ -174,22 +174,22 @@
 		return s, false // it is in quarantine as it is
 	}
 	c.facts[fact], c.lastAt = s, now
-	if fact.Kind == End {
-		l.under[fact.Of] = append(l.under[fact.Of], fact.Content)
+	if fact.Kind == Crash {
+		l.under[fact.Subject] = append(l.under[fact.Subject], fact.Content)
 	}
 	return s, true
 }
 
 // makeRoom forgets a content, if there is no room for another: of those with the
 // fewest ends the one that was learned of first.
-func (l *Ledger) makeRoom() {
+func (l *CrashTracker) makeRoom() {
 	if len(l.contents) < maxContents {
 		return
 	}
 	var least Fingerprint
 	var found *content
 	for f, c := range l.contents {
-		if found == nil || cmp.Or(cmp.Compare(l.Ends(f), l.Ends(least)), c.lastAt.Compare(found.lastAt)) < 0 {
+		if found == nil || cmp.Or(cmp.Compare(l.Crashes(f), l.Crashes(least)), c.lastAt.Compare(found.lastAt)) < 0 {
 			least, found = f, c
 		}
 	}
@@ -201,7 +201,7 @@
 	}
 }
 
-func (l *Ledger) drop(fact Fact) {
+func (l *CrashTracker) drop(fact Fact) {
 	c := l.contents[fact.Content]
 	if c == nil || c.facts[fact] == nil {
 		return
@@ -210,17 +210,17 @@
 	if len(c.facts) == 0 {
 		delete(l.contents, fact.Content)
 	}
-	if fact.Kind != End {
+	if fact.Kind != Crash {
 		return
 	}
-	l.under[fact.Of] = slices.DeleteFunc(l.under[fact.Of], func(f Fingerprint) bool { return f == fact.Content })
-	if len(l.under[fact.Of]) == 0 {
-		delete(l.under, fact.Of)
+	l.under[fact.Subject] = slices.DeleteFunc(l.under[fact.Subject], func(f Fingerprint) bool { return f == fact.Content })
+	if len(l.under[fact.Subject]) == 0 {
+		delete(l.under, fact.Subject)
 	}
 }
 
 // count returns how many facts of a kind hold of a content.
-func (l *Ledger) count(f Fingerprint, k Kind) int {
+func (l *CrashTracker) count(f Fingerprint, k Kind) int {
 	c := l.contents[f]
 	if c == nil {
 		return 0
@@ -234,19 +234,19 @@
 	return n
 }
 
-// Ends returns how many upstreams have ended under a content since it was answered last.
-func (l *Ledger) Ends(f Fingerprint) int { return l.count(f, End) }
+// Crashes returns how many upstreams have ended under a content since it was answered last.
+func (l *CrashTracker) Crashes(f Fingerprint) int { return l.count(f, Crash) }
 
 // Trials returns how many trials of a content were claimed since it was answered last.
-func (l *Ledger) Trials(f Fingerprint) int { return l.count(f, Trial) }
+func (l *CrashTracker) Trials(f Fingerprint) int { return l.count(f, Trial) }
 
-// Due returns the facts that are to be shared at now, as rows without a version.
-func (l *Ledger) Due(now time.Time) []Row {
+// DueRows returns the facts that are to be shared at now, as rows without a version.
+func (l *CrashTracker) DueRows(now time.Time) []Row {
 	var out []Row
 	for _, c := range l.contents {
 		for fact, s := range c.facts {
 			if s.version == 0 && !now.Before(s.shareAt) {
-				out = append(out, Row{Fact: fact, Unlikely: s.unlikely, Apart: slices.Clone(s.apart)})
+				out = append(out, Row{Fact: fact, UnlikelyCause: s.unlikely, UnrelatedCrashes: slices.Clone(s.apart)})
 			}
 		}
 	}
@@ -255,7 +255,7 @@
 
 // nextShare returns when the next fact that is not due at now is to be shared; zero if
 // there is none.
-func (l *Ledger) nextShare(now time.Time) time.Time {
+func (l *CrashTracker) nextShare(now time.Time) time.Time {
 	var next time.Time
 	for _, c := range l.contents {
 		for _, s := range c.facts {
@@ -267,21 +267,21 @@
 	return next
 }
 
-// Shared tells that a fact was known at now to have a row of the version given.
-func (l *Ledger) Shared(fact Fact, version uint64, now time.Time) {
+// MarkShared tells that a fact was known at now to have a row of the version given.
+func (l *CrashTracker) MarkShared(fact Fact, version uint64, now time.Time) {
 	if c := l.contents[fact.Content]; c != nil && c.facts[fact] != nil {
 		c.facts[fact].version, c.facts[fact].sharedAt = version, now
 	}
 }
 
-// Void returns the rows of the facts that hold no more.
-func (l *Ledger) Void() []Row {
+// InvalidRows returns the rows of the facts that hold no more.
+func (l *CrashTracker) InvalidRows() []Row {
 	return l.rows(func(_ *content, s *standing) bool { return s.void })
 }
 
-// Expired returns the rows of the contents that are not to be remembered at now any
+// ExpiredRows returns the rows of the contents that are not to be remembered at now any
 // longer, or for which there was no room.
-func (l *Ledger) Expired(now time.Time) []Row {
+func (l *CrashTracker) ExpiredRows(now time.Time) []Row {
 	out := l.rows(func(c *content, _ *standing) bool { return now.Sub(c.lastAt) >= keepFor })
 	out = append(out, l.evicted...)
 	l.evicted = nil
@@ -289,7 +289,7 @@
 }
 
 // rows returns the rows of the shared facts for which keep reports true.
-func (l *Ledger) rows(keep func(*content, *standing) bool) []Row {
+func (l *CrashTracker) rows(keep func(*content, *standing) bool) []Row {
 	var out []Row
 	for _, c := range l.contents {
 		for fact, s := range c.facts {
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -33,7 +33,7 @@
 // connections to it broke meanwhile.
 type probe struct {
 	begunAt  time.Time
-	lost     []Lost
+	lost     []Interrupted
 	urgent   chan struct{} // closed once a request waits for it
 	done     chan struct{}
 	hurried  bool
@@ -67,7 +67,7 @@
 }
 
 func (g *Guard) broken(ctx context.Context, a *Attempt) {
-	if g.cfg.Leaving(a.to) {
+	if g.cfg.IsLeaving(a.to) {
 		return // it ends for a reason of its own
 	}
 	f, ranFor := a.content.Fingerprint(), time.Since(a.begunAt)
@@ -76,9 +76,9 @@
 		g.mu.Unlock()
 		return
 	}
-	g.probe(a.to, Lost{Content: f, RanFor: ranFor})
+	g.probe(a.to, Interrupted{Content: f, RanFor: ranFor})
 	probes := g.probesFor(f)
-	wait := g.ledger.Ends(f)+len(probes) >= maxEnds
+	wait := g.ledger.Crashes(f)+len(probes) >= maxEnds
 	for _, p := range probes {
 		if wait {
 			p.hurry()
@@ -100,7 +100,7 @@
 func (g *Guard) probesFor(f Fingerprint) []*probe {
 	var out []*probe
 	for _, p := range g.probes {
-		if slices.ContainsFunc(p.lost, func(l Lost) bool { return l.Content == f }) {
+		if slices.ContainsFunc(p.lost, func(l Interrupted) bool { return l.Content == f }) {
 			out = append(out, p)
 		}
 	}
@@ -109,7 +109,7 @@
 
 // probe finds out whether an upstream has ended, and has its end count against what was
 // lost there.
-func (g *Guard) probe(to upstream.Entry, lost ...Lost) {
+func (g *Guard) probe(to upstream.Entry, lost ...Interrupted) {
 	start := startOf(to)
 	if p := g.probes[start]; p != nil {
 		p.lost = append(p.lost, lost...)
@@ -118,7 +118,7 @@
 	p := &probe{begunAt: time.Now(), lost: lost, urgent: make(chan struct{}), done: make(chan struct{})}
 	g.probes[start] = p
 	g.probing.Add(1)
-	g.cfg.Start(func() error {
+	g.cfg.Go(func() error {
 		g.probed(to, p, g.isGone(to, p))
 		return nil
 	})
@@ -140,7 +140,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
 	defer cancel()
-	return g.cfg.Gone(ctx, to)
+	return g.cfg.NotListening(ctx, to)
 }
 
 // probed tells the outcome of a probe.
@@ -158,12 +158,12 @@
 	lost := p.lost
 	for _, l := range g.left[start] {
 		if now.Before(l.till) {
-			lost = append(lost, Lost{Content: l.content, RanFor: now.Sub(l.sentAt)})
+			lost = append(lost, Interrupted{Content: l.content, RanFor: now.Sub(l.sentAt)})
 		}
 	}
 	delete(g.left, start)
-	for _, f := range g.ledger.Ended(lost, end, now) {
-		g.cfg.Observe(Event{What: "upstream ended under a request", Content: f, Upstream: to.ID, Ends: g.ledger.Ends(f), Unexplained: g.ledger.unexplained(f)})
+	for _, f := range g.ledger.RecordCrash(lost, end, now) {
+		g.cfg.OnEvent(Event{What: "upstream ended under a request", Content: f, Upstream: to.ID, Crashes: g.ledger.Crashes(f), Unexplained: g.ledger.unexplained(f)})
 	}
 	g.settle()
 }
@@ -220,7 +220,7 @@
 func (g *Guard) unreachable(to upstream.Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.left[startOf(to)]) > 0 && !g.cfg.Leaving(to) {
+	if len(g.left[startOf(to)]) > 0 && !g.cfg.IsLeaving(to) {
 		g.probe(to)
 	}
 }
--- a/pkg/quarantine/rows.go
+++ b/pkg/quarantine/rows.go
@@ -19,16 +19,16 @@
 	for f := range g.held {
 		if !g.ledger.inQuarantine(f) {
 			delete(g.held, f)
-			g.cfg.Observe(Event{What: "quarantine lifted", Content: f, Ends: g.ledger.Ends(f)})
+			g.cfg.OnEvent(Event{What: "quarantine lifted", Content: f, Crashes: g.ledger.Crashes(f)})
 		}
 	}
 	for f := range g.ledger.contents {
 		if !g.held[f] && g.ledger.inQuarantine(f) {
 			g.held[f] = true
-			g.cfg.Observe(Event{What: "request quarantined", Content: f, Ends: g.ledger.Ends(f), Unexplained: g.ledger.unexplained(f), Trials: g.ledger.Trials(f)})
+			g.cfg.OnEvent(Event{What: "request quarantined", Content: f, Crashes: g.ledger.Crashes(f), Unexplained: g.ledger.unexplained(f), Trials: g.ledger.Trials(f)})
 		}
 	}
-	g.cfg.Changed()
+	g.cfg.OnChange()
 }
 
 // Pending is what is to be written to the store, and when there may be more.
@@ -46,30 +46,30 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p := Pending{Put: g.ledger.Due(now), Delete: g.ledger.Void(), NextAt: g.ledger.nextShare(now)}
+	p := Pending{Put: g.ledger.DueRows(now), Delete: g.ledger.InvalidRows(), NextAt: g.ledger.nextShare(now)}
 	if sweep {
-		p.Delete = append(p.Delete, g.ledger.Expired(now)...)
+		p.Delete = append(p.Delete, g.ledger.ExpiredRows(now)...)
 	}
 	return p
 }
 
-// Shared tells that a fact has a row of the version given.
-func (g *Guard) Shared(fact Fact, version uint64) {
+// MarkShared tells that a fact has a row of the version given.
+func (g *Guard) MarkShared(fact Fact, version uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ledger.Shared(fact, version, time.Now())
+	g.ledger.MarkShared(fact, version, time.Now())
 }
 
-// Dropped tells that the row of a fact is gone.
-func (g *Guard) Dropped(fact Fact) {
+// MarkDeleted tells that the row of a fact is gone.
+func (g *Guard) MarkDeleted(fact Fact) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ledger.Apply([]Row{{Fact: fact, Deleted: true}}, false, time.Time{})
 	g.settle()
 }
 
-// Sizes returns how many contents are known, and how many of them are in quarantine.
-func (g *Guard) Sizes() (contents, quarantined int) {
+// Counts returns how many contents are known, and how many of them are in quarantine.
+func (g *Guard) Counts() (contents, quarantined int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Len(), len(g.held)
--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -81,16 +81,16 @@
 	return -math.Log(u) / max(weight, minWeight)
 }
 
-// BeforeWeighted returns how many of items come before one as RankWeighted ranks them,
+// WeightedRankOf returns how many of items come before one as RankWeighted ranks them,
 // without ranking all of them.
-func BeforeWeighted[T any](items []T, name func(T) string, weight func(T) float64, key string, one T) int {
+func WeightedRankOf[T any](items []T, name func(T) string, weight func(T) float64, key string, one T) int {
 	at := weightedPlace(name(one), weight(one), key)
 	return before(items, func(it T) bool { return weightedPlace(name(it), weight(it), key) < at })
 }
 
-// Before returns how many of items come before one as Rank ranks them, without ranking
+// RankOf returns how many of items come before one as Rank ranks them, without ranking
 // all of them.
-func Before[T any](items []T, name func(T) string, key string, one T) int {
+func RankOf[T any](items []T, name func(T) string, key string, one T) int {
 	at := score(name(one), key)
 	return before(items, func(it T) bool { return score(name(it), key) > at })
 }
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -83,12 +83,12 @@
 		items := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{1,6}"), 1, 30, rapid.ID[string]).Draw(t, "items")
 		key := rapid.StringMatching("[a-z]{0,4}").Draw(t, "key")
 		for i, it := range route.Rank(items, name, key) {
-			if got := route.Before(items, name, key, it); got != i {
+			if got := route.RankOf(items, name, key, it); got != i {
 				t.Fatalf("%d before %q, which is at %d", got, it, i)
 			}
 		}
 		for i, it := range route.RankWeighted(items, name, weight, key) {
-			if got := route.BeforeWeighted(items, name, weight, key, it); got != i {
+			if got := route.WeightedRankOf(items, name, weight, key, it); got != i {
 				t.Fatalf("%d before %q by weight, which is at %d", got, it, i)
 			}
 		}
--- a/pkg/routetable/routetable.go
+++ b/pkg/routetable/routetable.go
@@ -38,19 +38,19 @@
 	Resumable  bool // a stream may go on at another upstream
 	Public     bool // its callers need no key
 
-	MaxAttempts int           // upstreams that one request may be sent to; at least 1
-	Timeout     time.Duration // longest time that a request may be kept; 0 for none
-	Objective   time.Duration // time within which an answer is on time; 0 if not told
-	Due         time.Duration // results of a submission are due this long after it
-	MaxAge      time.Duration // an item of a submission may be given up after it; 0 for never
-	Priority    int           // 0 is the most urgent
+	MaxAttempts      int           // upstreams that one request may be sent to; at least 1
+	Timeout          time.Duration // longest time that a request may be kept; 0 for none
+	LatencyObjective time.Duration // time within which an answer is on time; 0 if not told
+	Due              time.Duration // results of a submission are due this long after it
+	MaxAge           time.Duration // an item of a submission may be given up after it; 0 for never
+	Priority         int           // 0 is the most urgent
 
 	SingleVersion bool // a sample must come from one weight version
 }
 
-// Pick returns the pool for a request, given a number drawn evenly from
+// PickPool returns the pool for a request, given a number drawn evenly from
 // [0, 1). The route must have a share.
-func (r Route) Pick(draw float64) string {
+func (r Route) PickPool(draw float64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
@@ -125,8 +125,8 @@
 	return Route{}, false
 }
 
-// OpenTo reports whether a host has a public route of a kind.
-func (t *Table) OpenTo(host string, kind Kind) bool {
+// HasPublicRoute reports whether a host has a public route of a kind.
+func (t *Table) HasPublicRoute(host string, kind Kind) bool {
 	return slices.ContainsFunc(t.byHost[host], func(r Route) bool { return r.Public && r.Kind == kind })
 }
 
@@ -142,8 +142,8 @@
 	return false
 }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int {
+// RouteCount returns the number of routes.
+func (t *Table) RouteCount() int {
 	n := 0
 	for _, rs := range t.byHost {
 		n += len(rs)
--- a/pkg/routetable/routetable_test.go
+++ b/pkg/routetable/routetable_test.go
@@ -27,12 +27,12 @@
 	r := routetable.Route{Shares: []routetable.Share{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}}}
 	got := map[string]int{}
 	for i := range 100 {
-		got[r.Pick(float64(i)/100)]++
+		got[r.PickPool(float64(i)/100)]++
 	}
 	if got["a"] != 90 || got["b"] != 10 {
 		t.Fatal(got)
 	}
-	if p := r.Pick(1); p != "b" {
+	if p := r.PickPool(1); p != "b" {
 		t.Fatalf("a draw at the end gives %q", p)
 	}
 }
--- a/pkg/scaling/scaling.go
+++ b/pkg/scaling/scaling.go
@@ -12,14 +12,14 @@
 	"github.com/zinnialadder/zinnialadder/pkg/routetable"
 )
 
-// Terms are what the operator allows, and what an engine serves.
-type Terms struct {
+// Limits are what the operator allows, and what an engine serves.
+type Limits struct {
 	routetable.Scaling
 	Slots int // requests that an engine batches
 }
 
-// Place is where engines are ordered: a data centre, and a kind of engine.
-type Place struct {
+// Placement is where engines are ordered: a data centre, and a kind of engine.
+type Placement struct {
 	DataCentre string
 	Spot       bool // may be taken back, all of a data centre at once
 }
@@ -27,14 +27,14 @@
 // Order is an order for a number of engines in a place.
 type Order struct {
 	Pool string
-	Place
+	Placement
 	Engines int
 }
 
-// Seen is what is known of a pool at a time.
-type Seen struct {
+// PoolState is what is known of a pool at a time.
+type PoolState struct {
 	At      time.Time
-	Engines map[Place]int // that stay
+	Engines map[Placement]int // that stay
 	// Items is how many texts the open submissions of the pool hold.
 	Items int
 }
@@ -56,10 +56,10 @@
 	retryPause = 1500 * time.Millisecond
 )
 
-// Plan is what the holder of the duty remembers of a pool. Its zero value
+// Planner is what the holder of the duty remembers of a pool. Its zero value
 // remembers nothing.
-type Plan struct {
-	ordered map[Place]ordered
+type Planner struct {
+	ordered map[Placement]ordered
 	peak    int // engines that the work needed at its most, lately
 	peakAt  time.Time
 }
@@ -82,12 +82,12 @@
 // than they would. Of work that has gone they are given back. Where a data centre
 // takes its engines back and has none, the others provide its share at once, and keep
 // it, so that orders do not go back and forth while it comes and goes.
-func (p *Plan) Decide(pool string, t Terms, s Seen) []Order {
+func (p *Planner) Decide(pool string, t Limits, s PoolState) []Order {
 	if t.Max <= 0 || t.Slots <= 0 || t.SpotPrice <= 0 {
 		return nil
 	}
 	if p.ordered == nil {
-		p.ordered = map[Place]ordered{}
+		p.ordered = map[Placement]ordered{}
 	}
 	var out []Order
 	for place, n := range p.spread(t, s) {
@@ -102,7 +102,7 @@
 		case s.At.Before(o.notBefore), !known && n <= there, known && n == o.engines && !lost:
 			continue
 		}
-		out = append(out, Order{Pool: pool, Place: place, Engines: n})
+		out = append(out, Order{Pool: pool, Placement: place, Engines: n})
 	}
 	slices.SortFunc(out, func(a, b Order) int {
 		return cmp.Or(cmp.Compare(b.Engines, a.Engines), cmp.Compare(a.DataCentre, b.DataCentre))
@@ -111,7 +111,7 @@
 }
 
 // wanted returns how many engines the pool is to have.
-func (p *Plan) wanted(t Terms, s Seen) int {
+func (p *Planner) wanted(t Limits, s PoolState) int {
 	need := int(math.Ceil(float64(s.Items) * SlotsPerItem / float64(t.Slots)))
 	if need >= p.peak || s.At.Sub(p.peakAt) > peakTime {
 		p.peak, p.peakAt = need, s.At
@@ -121,15 +121,15 @@
 
 // spread returns how many engines that may be taken back each data centre is to
 // have: what was ordered there, and more or fewer where that is not what is wanted.
-func (p *Plan) spread(t Terms, s Seen) map[Place]int {
+func (p *Planner) spread(t Limits, s PoolState) map[Placement]int {
 	centres := slices.SortedFunc(maps.Keys(t.Prices), func(a, b string) int {
 		return cmp.Or(cmp.Compare(t.Prices[a], t.Prices[b]), cmp.Compare(a, b))
 	})
 	left := p.wanted(t, s)
-	out := map[Place]int{}
+	out := map[Placement]int{}
 	for _, dc := range centres {
-		place := Place{DataCentre: dc, Spot: true}
-		regular := s.Engines[Place{DataCentre: dc}]
+		place := Placement{DataCentre: dc, Spot: true}
+		regular := s.Engines[Placement{DataCentre: dc}]
 		out[place] = min(p.ordered[place].engines, max(t.Max-regular, 0))
 		left -= regular + out[place]
 	}
@@ -138,25 +138,25 @@
 		if !ok {
 			break
 		}
-		out[Place{DataCentre: dc, Spot: true}]++
+		out[Placement{DataCentre: dc, Spot: true}]++
 	}
 	for ; left < 0; left++ {
 		dc, ok := fullest(centres, out)
 		if !ok {
 			break
 		}
-		out[Place{DataCentre: dc, Spot: true}]--
+		out[Placement{DataCentre: dc, Spot: true}]--
 	}
 	return out
 }
 
 // emptiest returns the data centre that is to have the fewest engines of those that
 // may have more, the cheapest of these.
-func (p *Plan) emptiest(centres []string, spot map[Place]int, t Terms, s Seen) (string, bool) {
+func (p *Planner) emptiest(centres []string, spot map[Placement]int, t Limits, s PoolState) (string, bool) {
 	best, fewest := "", t.Max
 	for _, dc := range centres {
-		place := Place{DataCentre: dc, Spot: true}
-		n := s.Engines[Place{DataCentre: dc}] + spot[place]
+		place := Placement{DataCentre: dc, Spot: true}
+		n := s.Engines[Placement{DataCentre: dc}] + spot[place]
 		if n < fewest && !s.At.Before(p.ordered[place].notBefore) {
 			best, fewest = dc, n
 		}
@@ -166,10 +166,10 @@
 
 // fullest returns the data centre that is to have the most engines that may be given
 // back, the dearest of these.
-func fullest(centres []string, spot map[Place]int) (string, bool) {
+func fullest(centres []string, spot map[Placement]int) (string, bool) {
 	best, most := "", 0
 	for _, dc := range centres {
-		if n := spot[Place{DataCentre: dc, Spot: true}]; n > 0 && n >= most {
+		if n := spot[Placement{DataCentre: dc, Spot: true}]; n > 0 && n >= most {
 			best, most = dc, n
 		}
 	}
@@ -181,21 +181,21 @@
 
 // The outcomes of an order.
 const (
-	Unknown  Outcome = iota // it may be carried out, also later
-	Accepted                // it is being carried out
-	None                    // there are no such engines now
+	Unknown    Outcome = iota // it may be carried out, also later
+	Accepted                  // it is being carried out
+	NoCapacity                // there are no such engines now
 )
 
-// Ordered tells how an order ended at at, where there engines of its kind are there.
-func (p *Plan) Ordered(o Order, outcome Outcome, there int, at time.Time) {
+// RecordOutcome tells how an order ended at at, where there engines of its kind are there.
+func (p *Planner) RecordOutcome(o Order, outcome Outcome, there int, at time.Time) {
 	switch outcome {
 	case Accepted:
-		p.ordered[o.Place] = ordered{engines: o.Engines, at: at}
-	case None:
-		p.ordered[o.Place] = ordered{engines: min(there, o.Engines), at: at, notBefore: at.Add(refusedPause)}
+		p.ordered[o.Placement] = ordered{engines: o.Engines, at: at}
+	case NoCapacity:
+		p.ordered[o.Placement] = ordered{engines: min(there, o.Engines), at: at, notBefore: at.Add(refusedPause)}
 	case Unknown:
-		was := p.ordered[o.Place]
+		was := p.ordered[o.Placement]
 		was.notBefore = at.Add(retryPause)
-		p.ordered[o.Place] = was
+		p.ordered[o.Placement] = was
 	}
 }
--- a/pkg/scaling/scaling_test.go
+++ b/pkg/scaling/scaling_test.go
@@ -13,12 +13,12 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m, 60) }
 
-var terms = scaling.Terms{Slots: 6, Scaling: routetable.Scaling{Min: 1, Max: 26, BootTime: 4 * time.Second, SpotPrice: 0.22,
+var terms = scaling.Limits{Slots: 6, Scaling: routetable.Scaling{Min: 1, Max: 26, BootTime: 4 * time.Second, SpotPrice: 0.22,
 	Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}}
 
 // site replays a load against a Plan: engines boot, are taken back, and come back.
 type site struct {
-	plan    scaling.Plan
+	plan    scaling.Planner
 	now     time.Time
 	regular map[string]int
 	spot    map[string]int // there
@@ -37,10 +37,10 @@
 func (s *site) run(span time.Duration, items int) {
 	for end := s.now.Add(span); s.now.Before(end); s.now = s.now.Add(250 * time.Millisecond) {
 		s.boot()
-		seen := scaling.Seen{At: s.now, Engines: map[scaling.Place]int{}, Items: items}
+		seen := scaling.PoolState{At: s.now, Engines: map[scaling.Placement]int{}, Items: items}
 		for dc, n := range s.regular {
-			seen.Engines[scaling.Place{DataCentre: dc}] = n
-			seen.Engines[scaling.Place{DataCentre: dc, Spot: true}] = s.spot[dc]
+			seen.Engines[scaling.Placement{DataCentre: dc}] = n
+			seen.Engines[scaling.Placement{DataCentre: dc, Spot: true}] = s.spot[dc]
 		}
 		for _, o := range s.plan.Decide("p", terms, seen) {
 			s.order(o)
@@ -63,7 +63,7 @@
 	dc := o.DataCentre
 	more := o.Engines - s.spot[dc] - len(s.booting[dc])
 	if more > 0 && s.dry[dc] {
-		s.plan.Ordered(o, scaling.None, s.spot[dc], s.now)
+		s.plan.RecordOutcome(o, scaling.NoCapacity, s.spot[dc], s.now)
 		return
 	}
 	for range more {
@@ -71,7 +71,7 @@
 	}
 	s.spot[dc] = min(s.spot[dc], o.Engines)
 	s.desired[dc] = o.Engines
-	s.plan.Ordered(o, scaling.Accepted, s.spot[dc], s.now)
+	s.plan.RecordOutcome(o, scaling.Accepted, s.spot[dc], s.now)
 }
 
 func (s *site) engines() int {
@@ -156,17 +156,17 @@
 
 // An order that got no answer is given again, and not at once.
 func TestOrderWithoutAnswer(t *testing.T) {
-	var p scaling.Plan
+	var p scaling.Planner
 	at := time.Unix(1_800_000_000, 0)
-	seen := func() scaling.Seen {
-		return scaling.Seen{At: at, Items: 400, Engines: map[scaling.Place]int{{DataCentre: "a"}: 13, {DataCentre: "b"}: 13, {DataCentre: "c"}: 12}}
+	seen := func() scaling.PoolState {
+		return scaling.PoolState{At: at, Items: 400, Engines: map[scaling.Placement]int{{DataCentre: "a"}: 13, {DataCentre: "b"}: 13, {DataCentre: "c"}: 12}}
 	}
 	orders := p.Decide("p", terms, seen())
 	if len(orders) == 0 {
 		t.Fatal("no orders")
 	}
 	for _, o := range orders {
-		p.Ordered(o, scaling.Unknown, 0, at)
+		p.RecordOutcome(o, scaling.Unknown, 0, at)
 	}
 	at = at.Add(250 * time.Millisecond)
 	if again := p.Decide("p", terms, seen()); len(again) != 0 {
@@ -181,20 +181,20 @@
 // Whatever comes and goes, no order is beyond what the operator allows.
 func TestOrdersStayWithinTerms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var p scaling.Plan
+		var p scaling.Planner
 		at := time.Unix(1_800_000_000, 0)
 		for range rapid.IntRange(1, 60).Draw(t, "looks") {
 			at = at.Add(time.Duration(rapid.IntRange(50, 30_000).Draw(t, "later")) * time.Millisecond)
-			s := scaling.Seen{At: at, Items: rapid.IntRange(0, 5000).Draw(t, "items"), Engines: map[scaling.Place]int{}}
+			s := scaling.PoolState{At: at, Items: rapid.IntRange(0, 5000).Draw(t, "items"), Engines: map[scaling.Placement]int{}}
 			for dc := range terms.Prices {
-				s.Engines[scaling.Place{DataCentre: dc}] = rapid.IntRange(0, 26).Draw(t, "regular")
-				s.Engines[scaling.Place{DataCentre: dc, Spot: true}] = rapid.IntRange(0, 26).Draw(t, "spot")
+				s.Engines[scaling.Placement{DataCentre: dc}] = rapid.IntRange(0, 26).Draw(t, "regular")
+				s.Engines[scaling.Placement{DataCentre: dc, Spot: true}] = rapid.IntRange(0, 26).Draw(t, "spot")
 			}
 			for _, o := range p.Decide("p", terms, s) {
-				if o.Engines < 0 || o.Engines+s.Engines[scaling.Place{DataCentre: o.DataCentre}] > max(terms.Max, s.Engines[scaling.Place{DataCentre: o.DataCentre}]) || !o.Spot {
+				if o.Engines < 0 || o.Engines+s.Engines[scaling.Placement{DataCentre: o.DataCentre}] > max(terms.Max, s.Engines[scaling.Placement{DataCentre: o.DataCentre}]) || !o.Spot {
 					t.Fatalf("%+v where there are %v", o, s.Engines)
 				}
-				p.Ordered(o, scaling.Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")), s.Engines[o.Place], at)
+				p.RecordOutcome(o, scaling.Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")), s.Engines[o.Placement], at)
 			}
 		}
 	})
--- a/pkg/shard/deliver.go
+++ b/pkg/shard/deliver.go
@@ -33,8 +33,8 @@
 		return err
 	}
 	open := platform.Check(step.HeadKey(r.id.Step), r.headRow)
-	d := r.cfg.Samples.New(r.entry, r.deliveryID(e.Group), e.Samples...)
-	version, err := r.cfg.Samples.Keep(ctx, r.entry, d, renewal, open)
+	d := r.cfg.Samples.NewRecord(r.entry, r.deliveryID(e.Group), e.Samples...)
+	version, err := r.cfg.Samples.CommitRecord(ctx, r.entry, d, renewal, open)
 	var ce *platform.ConflictError
 	switch {
 	case err == nil && version > 0:
@@ -47,7 +47,7 @@
 	case errors.As(err, &ce) && ce.Key == r.keeper.Name:
 		return errShardLost
 	}
-	r.step.Reduce(step.Unrecorded{Group: e.Group, RetryAt: r.cfg.Clock.Now().Add(unrecordedPause)})
+	r.step.Reduce(step.RecordFailed{Group: e.Group, RetryAt: r.cfg.Clock.Now().Add(unrecordedPause)})
 	if errors.Is(err, delivery.ErrTooStale) {
 		r.cfg.Stale.Inc(int64(len(e.Samples)))
 		return nil
@@ -67,7 +67,7 @@
 	if err != nil {
 		return platform.Op{}, err
 	}
-	return r.keeper.Op(r.held, data)
+	return r.keeper.RenewOp(r.held, data)
 }
 
 // reread finds out after a write of unknown outcome what the table holds: the
@@ -89,7 +89,7 @@
 // holder finds the record gone.
 func (r *run) send(ctx context.Context, group int, d delivery.Record, version uint64) {
 	r.sending[group] = true
-	r.cfg.Samples.Later(ctx, d, func(ctx context.Context) error {
+	r.cfg.Samples.RunAsync(ctx, d, func(ctx context.Context) error {
 		learned, err := r.cfg.Samples.Deliver(ctx, d)
 		a := ack{group: group, failed: err != nil, learned: learned, row: platform.Delete(d.Key, version)}
 		select {
@@ -100,7 +100,7 @@
 		if err != nil {
 			return err
 		}
-		return r.cfg.Samples.Forget(ctx, d.Key)
+		return r.cfg.Samples.DeleteRecord(ctx, d.Key)
 	})
 }
 
@@ -193,7 +193,7 @@
 // closeIfComplete closes the step once the trainer holds the desired groups. If
 // the platform does not answer it is called again at the next renewal.
 func (r *run) closeIfComplete(ctx context.Context) error {
-	n, err := step.Delivered(ctx, r.cfg.Platform, r.id.Step)
+	n, err := step.CountDelivered(ctx, r.cfg.Platform, r.id.Step)
 	if err != nil {
 		return nil
 	}
--- a/pkg/shard/generate.go
+++ b/pkg/shard/generate.go
@@ -40,14 +40,14 @@
 
 // start runs one generation on the group.
 func (r *run) start(ctx context.Context, a step.Attempt) {
-	ctx, cancel := context.WithDeadline(ctx, r.head.DueAt)
+	ctx, cancel := context.WithDeadline(ctx, r.head.Deadline)
 	r.cancels[a.Number] = cancel
 	r.group.Go(func() error {
 		defer cancel()
 		smp, err := r.cfg.Generate(ctx, Attempt{Attempt: a, Entry: r.entry, Spec: r.spec,
-			Tried: r.used.of(a.Item), Using: func(addr string) { r.used.add(a.Item, addr) }})
+			UsedEngines: r.used.of(a.Item), OnEngine: func(addr string) { r.used.add(a.Item, addr) }})
 		select {
-		case r.ended <- step.Ended{Attempt: a, Sample: smp, Err: err, At: r.cfg.Clock.Now()}:
+		case r.ended <- step.AttemptEnded{Attempt: a, Sample: smp, Err: err, At: r.cfg.Clock.Now()}:
 		case <-ctx.Done():
 		}
 		return nil
--- a/pkg/shard/shard.go
+++ b/pkg/shard/shard.go
@@ -26,26 +26,26 @@
 
 // Config configures the runs of shards.
 type Config struct {
-	Platform  *platform.Client
-	Clock     clock.Clock
-	Logger    *log.Logger
-	Holder    string               // of the shards' leases: names this process
-	View      func() *control.View // the control state in force
-	Samples   *delivery.Sender
-	Generate  func(context.Context, Attempt) (trainer.Sample, error)
-	Policy    step.Policy     // its MaxRunning is taken from the catalogue entry's limit
-	Tick      time.Duration   // period of a shard's decisions
-	DrainTime time.Duration   // deliveries under way are waited for so long when the instance drains
-	Stale     metrics.Counter // samples too old to be delivered
+	Platform     *platform.Client
+	Clock        clock.Clock
+	Logger       *log.Logger
+	Holder       string               // of the shards' leases: names this process
+	View         func() *control.View // the control state in force
+	Samples      *delivery.Sender
+	Generate     func(context.Context, Attempt) (trainer.Sample, error)
+	Policy       step.Policy     // its MaxRunning is taken from the catalogue entry's limit
+	TickInterval time.Duration   // period of a shard's decisions
+	DrainTimeout time.Duration   // deliveries under way are waited for so long when the instance drains
+	Stale        metrics.Counter // samples too old to be delivered
 }
 
 // Attempt is one try to make one sample of a step.
 type Attempt struct {
 	step.Attempt
-	Entry catalogue.Entry
-	Spec  step.Spec
-	Tried []string          // engines that other attempts at the same item have used
-	Using func(addr string) // is told of each engine that this one uses
+	Entry       catalogue.Entry
+	Spec        step.Spec
+	UsedEngines []string          // engines that other attempts at the same item have used
+	OnEngine    func(addr string) // is told of each engine that this one uses
 }
 
 // run is one run of a shard under the shard's lease. Its loop owns
@@ -58,7 +58,7 @@
 	spec    step.Spec
 	entry   catalogue.Entry
 
-	keeper    *lease.Keeper
+	keeper    *lease.Manager
 	held      lease.Held
 	progress  step.Progress
 	step      *step.Run
@@ -69,7 +69,7 @@
 	acks    []ack        // to be kept, after the platform did not answer
 
 	group   errgroup.Group
-	ended   chan step.Ended
+	ended   chan step.AttemptEnded
 	acked   chan ack
 	over    chan struct{}              // closed when the loop is over
 	cancels map[int]context.CancelFunc // by attempt number
@@ -85,9 +85,9 @@
 // Run runs a shard, whose lease lives for ttl, until the step closes, the lease
 // is lost or ctx ends; then it gives the lease up.
 func Run(ctx context.Context, cfg Config, id control.ShardID, ttl time.Duration) error {
-	r := &run{cfg: cfg, id: id, ended: make(chan step.Ended, 64), acked: make(chan ack),
+	r := &run{cfg: cfg, id: id, ended: make(chan step.AttemptEnded, 64), acked: make(chan ack),
 		over: make(chan struct{}), sending: map[int]bool{}, cancels: map[int]context.CancelFunc{},
-		keeper: &lease.Keeper{Table: cfg.Platform, Clock: cfg.Clock, Name: step.ShardKey(id.Step, id.Shard), Holder: cfg.Holder, TTL: ttl}}
+		keeper: &lease.Manager{Table: cfg.Platform, Clock: cfg.Clock, Name: step.ShardKey(id.Step, id.Shard), Holder: cfg.Holder, TTL: ttl}}
 	if err := r.open(ctx); err != nil {
 		return err
 	}
@@ -109,14 +109,14 @@
 // next. After a kill the next holder can't tell, and sends again what is
 // recorded; the trainer knows it by its ID.
 func (r *run) settle(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.cfg.DrainTime)
+	ctx, cancel := context.WithTimeout(ctx, r.cfg.DrainTimeout)
 	defer cancel()
 	for len(r.sending) > 0 {
 		var err error
 		select {
 		case a := <-r.acked:
 			err = r.keepAcks(ctx, a)
-		case <-time.After(r.cfg.Tick):
+		case <-time.After(r.cfg.TickInterval):
 			err = r.keepAcks(ctx) // those the platform did not answer for
 		case <-ctx.Done():
 			err = ctx.Err()
@@ -165,7 +165,7 @@
 // known to settle.
 func (r *run) loop(ctx context.Context) error {
 	calls := context.WithoutCancel(ctx)
-	ticker := time.NewTicker(r.cfg.Tick)
+	ticker := time.NewTicker(r.cfg.TickInterval)
 	defer ticker.Stop()
 	for {
 		var effs []step.Effect
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -50,11 +50,11 @@
 	table, tr := httptest.NewServer(b.table.Handler()), httptest.NewServer(b.trainer.Handler())
 	t.Cleanup(table.Close)
 	t.Cleanup(tr.Close)
-	b.client = platform.NewClient(table.URL, nil).Within(time.Second)
+	b.client = platform.NewClient(table.URL, nil).WithTimeout(time.Second)
 	b.view = control.New(control.Member{ID: "a"}, control.Timing{}).View
 	b.view.Entries["drafts"] = catalogue.Entry{Name: "drafts", Owner: "minho", Class: catalogue.Training, Pool: "pool",
 		Trainer: strings.TrimPrefix(tr.URL, "http://"), Limits: catalogue.Limits{MaxInFlight: 8}}
-	b.spec = step.Spec{Customer: "minho", Entry: "drafts", ID: "s1", Desired: groups, DueAt: time.Now().Add(time.Minute)}
+	b.spec = step.Spec{Customer: "minho", Entry: "drafts", ID: "s1", Desired: groups, Deadline: time.Now().Add(time.Minute)}
 	for g := range groups {
 		b.spec.Groups = append(b.spec.Groups, step.Group{ID: fmt.Sprint("g", g), Prompt: "p", Size: size, MaxTokens: 1})
 	}
@@ -74,12 +74,12 @@
 func (b *bench) config(name string, work func() time.Duration) shard.Config {
 	var attempts atomic.Int64
 	c := metrics.NewCounter
-	counters := delivery.Counters{Sent: c(), Stale: c(), Lost: c(), Retries: c(), Redelivered: c()}
+	counters := delivery.Counters{Delivered: c(), Stale: c(), Lost: c(), Retries: c(), Redelivered: c()}
 	view := func() *control.View { return b.view }
 	return shard.Config{Platform: b.client, Clock: clock.System{}, Logger: log.New(io.Discard), Holder: name, View: view,
 		Samples: delivery.NewSender(delivery.Config{Platform: b.client, Clock: clock.System{}, Logger: log.New(io.Discard), HTTP: http.DefaultClient,
-			View: view, Attempt: func() string { return fmt.Sprint(name, "/", attempts.Add(1)) }, Go: func(f func() error) { b.sends.Go(f) },
-			Leave: context.Background(), Counters: counters}),
+			View: view, NewAttemptID: func() string { return fmt.Sprint(name, "/", attempts.Add(1)) }, Go: func(f func() error) { b.sends.Go(f) },
+			SendContext: context.Background(), Counters: counters}),
 		Generate: func(ctx context.Context, a shard.Attempt) (trainer.Sample, error) {
 			if !clock.Sleep(ctx, work()) {
 				return trainer.Sample{}, ctx.Err()
@@ -90,7 +90,7 @@
 			b.made[id]++
 			return trainer.Sample{ID: id, Customer: "minho", Entry: "drafts", Group: a.Spec.Groups[a.Group].ID, WeightVersions: []uint64{1}, Tokens: 1}, nil
 		},
-		Policy: step.Policy{RetryDelay: 10 * time.Millisecond}, Tick: 5 * time.Millisecond, DrainTime: time.Second, Stale: counters.Stale}
+		Policy: step.Policy{RetryDelay: 10 * time.Millisecond}, TickInterval: 5 * time.Millisecond, DrainTimeout: time.Second, Stale: counters.Stale}
 }
 
 func (b *bench) id() control.ShardID { return control.ShardID{Step: b.spec.Key()} }
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -26,14 +26,14 @@
 
 // renew takes or renews the lease, and reads back the progress kept with it.
 func (r *run) renew(ctx context.Context) error {
-	held, err := r.keeper.Take(ctx, nil)
+	held, err := r.keeper.Acquire(ctx, nil)
 	if err != nil {
 		return err
 	}
 	r.held = held
 	r.nextRenew = r.cfg.Clock.Now().Add(r.keeper.TTL / control.RenewalsPerTTL)
-	if now := r.cfg.Clock.Now(); now.Before(r.head.DueAt) && r.head.DueAt.Before(r.nextRenew) {
-		r.nextRenew = r.head.DueAt // when upkeep closes the step
+	if now := r.cfg.Clock.Now(); now.Before(r.head.Deadline) && r.head.Deadline.Before(r.nextRenew) {
+		r.nextRenew = r.head.Deadline // when upkeep closes the step
 	}
 	if len(held.Data) > 0 {
 		return json.Unmarshal(held.Data, &r.progress)
@@ -46,14 +46,14 @@
 func (r *run) upkeep(ctx context.Context) error {
 	now := r.cfg.Clock.Now()
 	view := r.cfg.View()
-	if newest := view.Newest[r.entry.Pool]; newest > r.entry.MaxVersionLag {
-		r.step.Reduce(step.Floor{Version: newest - r.entry.MaxVersionLag})
+	if newest := view.NewestVersions[r.entry.Pool]; newest > r.entry.MaxVersionLag {
+		r.step.Reduce(step.MinVersionRaised{Version: newest - r.entry.MaxVersionLag})
 	}
 	if now.Before(r.nextRenew) {
 		return nil
 	}
-	if !now.Before(r.head.DueAt) {
-		if err := r.close(ctx, step.Due); err == nil {
+	if !now.Before(r.head.Deadline) {
+		if err := r.close(ctx, step.DeadlinePassed); err == nil {
 			return errStepClosed
 		}
 	}
@@ -66,7 +66,7 @@
 	case err != nil && !now.Before(r.held.ValidUntil):
 		return errShardLost
 	case err != nil:
-		r.nextRenew = now.Add(r.cfg.Tick) // the platform is away; the lease still holds
+		r.nextRenew = now.Add(r.cfg.TickInterval) // the platform is away; the lease still holds
 	}
 	if err := r.keepAcks(ctx); err != nil {
 		return err
--- a/pkg/step/head.go
+++ b/pkg/step/head.go
@@ -48,8 +48,8 @@
 	return false, err
 }
 
-// Delivered counts the groups of the step key that its trainer holds.
-func Delivered(ctx context.Context, c *platform.Client, key string) (int, error) {
+// CountDelivered counts the groups of the step key that its trainer holds.
+func CountDelivered(ctx context.Context, c *platform.Client, key string) (int, error) {
 	rows, err := c.Scan(ctx, ShardsPrefix(key))
 	if err != nil {
 		return 0, err
--- a/pkg/step/run.go
+++ b/pkg/step/run.go
@@ -39,8 +39,8 @@
 type (
 	// Tick tells the time.
 	Tick struct{ At time.Time }
-	// Ended tells how an attempt ended: with a sample if Err is nil.
-	Ended struct {
+	// AttemptEnded tells how an attempt ended: with a sample if Err is nil.
+	AttemptEnded struct {
 		Attempt
 		Sample trainer.Sample
 		Err    error
@@ -53,24 +53,24 @@
 	// Refused tells that the trainer turned a recorded group away as too
 	// old: it is generated again.
 	Refused struct{ Group int }
-	// Unrecorded tells that recording a group's delivery failed, and that
+	// RecordFailed tells that recording a group's delivery failed, and that
 	// it should be tried again at RetryAt.
-	Unrecorded struct {
+	RecordFailed struct {
 		Group   int
 		RetryAt time.Time
 	}
-	// Floor tells the oldest weight version a sample may have now. Samples
+	// MinVersionRaised tells the oldest weight version a sample may have now. Samples
 	// of older versions that are not yet delivered are generated again.
-	Floor struct{ Version uint64 }
+	MinVersionRaised struct{ Version uint64 }
 )
 
-func (Tick) isRunEvent()       {}
-func (Ended) isRunEvent()      {}
-func (Recorded) isRunEvent()   {}
-func (Acked) isRunEvent()      {}
-func (Refused) isRunEvent()    {}
-func (Unrecorded) isRunEvent() {}
-func (Floor) isRunEvent()      {}
+func (Tick) isRunEvent()             {}
+func (AttemptEnded) isRunEvent()     {}
+func (Recorded) isRunEvent()         {}
+func (Acked) isRunEvent()            {}
+func (Refused) isRunEvent()          {}
+func (RecordFailed) isRunEvent()     {}
+func (MinVersionRaised) isRunEvent() {}
 
 // Effect is something a Run asks for.
 type Effect interface{ isRunEffect() }
@@ -169,7 +169,7 @@
 	switch e := ev.(type) {
 	case Tick:
 		return r.onTick(e.At)
-	case Ended:
+	case AttemptEnded:
 		return r.onEnded(e)
 	case Recorded:
 		r.group(e.Group).state = recorded
@@ -179,11 +179,11 @@
 		g := r.group(e.Group)
 		g.state = generating
 		clear(g.samples)
-	case Unrecorded:
+	case RecordFailed:
 		g := r.group(e.Group)
 		g.state, g.record = generating, e.RetryAt
 		g.dropOlder(r.floor) // the floor may have risen meanwhile
-	case Floor:
+	case MinVersionRaised:
 		r.raiseFloor(e.Version)
 	}
 	return nil
@@ -275,7 +275,7 @@
 }
 
 // onEnded takes the first sample of an item, and cancels its other attempt.
-func (r *Run) onEnded(e Ended) []Effect {
+func (r *Run) onEnded(e AttemptEnded) []Effect {
 	i := slices.IndexFunc(r.running, func(a running) bool { return a.Attempt == e.Attempt })
 	if i < 0 {
 		return nil // cancelled before
@@ -322,7 +322,7 @@
 }
 
 func tooOld(s trainer.Sample, floor uint64) bool {
-	return s.Oldest() == 0 || s.Oldest() < floor
+	return s.OldestVersion() == 0 || s.OldestVersion() < floor
 }
 
 func sortedIndex(ds []time.Duration, d time.Duration) int {
--- a/pkg/step/run_test.go
+++ b/pkg/step/run_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { rapidseed.Main(m, 300) }
 
 func spec(groups, size int) step.Spec {
-	s := step.Spec{Customer: "minho", Entry: "drafts", ID: "s1", Desired: groups, DueAt: time.Unix(1_900_000_000, 0)}
+	s := step.Spec{Customer: "minho", Entry: "drafts", ID: "s1", Desired: groups, Deadline: time.Unix(1_900_000_000, 0)}
 	for i := range groups {
 		s.Groups = append(s.Groups, step.Group{ID: fmt.Sprintf("g%d", i), Prompt: "p", Size: size, MaxTokens: 8})
 	}
@@ -88,7 +88,7 @@
 func (b *bench) end(t *rapid.T, a step.Attempt, err error) {
 	delete(b.running, a.Number)
 	s := trainer.Sample{ID: fmt.Sprintf("%d.%d", a.Group, a.Index), WeightVersions: []uint64{b.version}}
-	b.carryOut(t, b.run.Reduce(step.Ended{Attempt: a, Sample: s, Err: err, At: b.now}))
+	b.carryOut(t, b.run.Reduce(step.AttemptEnded{Attempt: a, Sample: s, Err: err, At: b.now}))
 }
 
 func (b *bench) tick(t *rapid.T, d time.Duration) {
@@ -142,7 +142,7 @@
 					b.done[g] = true
 					b.run.Reduce(step.Acked{Group: g})
 				} else {
-					b.run.Reduce(step.Unrecorded{Group: g, RetryAt: b.now.Add(200 * time.Millisecond)})
+					b.run.Reduce(step.RecordFailed{Group: g, RetryAt: b.now.Add(200 * time.Millisecond)})
 				}
 				return
 			}
@@ -165,7 +165,7 @@
 			"name": func(*rapid.T) {
 				b.version++
 				b.floor = b.version - 1
-				b.run.Reduce(step.Floor{Version: b.floor})
+				b.run.Reduce(step.MinVersionRaised{Version: b.floor})
 			},
 			"record":   func(t *rapid.T) { record(t, true, false) },
 			"refuse":   func(t *rapid.T) { record(t, true, true) },
@@ -199,7 +199,7 @@
 	}
 	sample := trainer.Sample{WeightVersions: []uint64{1}}
 	for _, eff := range started[1:] {
-		r.Reduce(step.Ended{Attempt: eff.(step.Start).Attempt, Sample: sample, At: now.Add(time.Second)})
+		r.Reduce(step.AttemptEnded{Attempt: eff.(step.Start).Attempt, Sample: sample, At: now.Add(time.Second)})
 	}
 	if effs := r.Reduce(step.Tick{At: now.Add(1900 * time.Millisecond)}); len(effs) != 0 {
 		t.Fatalf("hedged before twice the median: %+v", effs)
@@ -209,7 +209,7 @@
 		t.Fatalf("straggler not hedged: %+v", effs)
 	}
 	hedge := effs[0].(step.Start).Attempt
-	effs = r.Reduce(step.Ended{Attempt: hedge, Sample: sample, At: now.Add(3 * time.Second)})
+	effs = r.Reduce(step.AttemptEnded{Attempt: hedge, Sample: sample, At: now.Add(3 * time.Second)})
 	if len(effs) != 1 || effs[0] != (step.Cancel{Attempt: started[0].(step.Start).Attempt}) {
 		t.Fatalf("straggler not cancelled: %+v", effs)
 	}
@@ -221,7 +221,7 @@
 		"customer":   func(s *step.Spec) { s.Customer = "" },
 		"id":         func(s *step.Spec) { s.ID = "a/b" },
 		"desired":    func(s *step.Spec) { s.Desired = 3 },
-		"due_at":     func(s *step.Spec) { s.DueAt = time.Time{} },
+		"due_at":     func(s *step.Spec) { s.Deadline = time.Time{} },
 		"twice":      func(s *step.Spec) { s.Groups[1].ID = "g0" },
 		"size":       func(s *step.Spec) { s.Groups[1].Size = 0 },
 		"max_tokens": func(s *step.Spec) { s.Groups[1].MaxTokens = 0 },
@@ -247,7 +247,7 @@
 	r := step.NewRun(spec(4, 4), []int{0, 1, 2, 3}, step.Progress{}, step.Policy{MaxRunning: 64, HedgeFactor: 2, HedgeAfter: 8})
 	started := r.Reduce(step.Tick{At: now})
 	for _, eff := range started[:4] {
-		r.Reduce(step.Ended{Attempt: eff.(step.Start).Attempt, Sample: trainer.Sample{WeightVersions: []uint64{1}}, At: now.Add(time.Second)})
+		r.Reduce(step.AttemptEnded{Attempt: eff.(step.Start).Attempt, Sample: trainer.Sample{WeightVersions: []uint64{1}}, At: now.Add(time.Second)})
 	}
 	hedges := 0
 	for _, eff := range r.Reduce(step.Tick{At: now.Add(2100 * time.Millisecond)}) {
--- a/pkg/step/step.go
+++ b/pkg/step/step.go
@@ -30,7 +30,7 @@
 	Entry    string    `json:"entry"` // a training entry of the catalogue
 	ID       string    `json:"id"`
 	Desired  int       `json:"desired"` // complete groups the trainer waits for
-	DueAt    time.Time `json:"due_at"`  // when the step ends whatever is complete
+	Deadline time.Time `json:"due_at"`  // when the step ends whatever is complete
 	Groups   []Group   `json:"groups"`
 }
 
@@ -49,7 +49,7 @@
 		return fmt.Errorf("step: customer and entry are required")
 	case !idPattern.MatchString(s.ID):
 		return fmt.Errorf("step: id %q: want up to 64 letters, digits, '-' or '_'", s.ID)
-	case s.DueAt.IsZero():
+	case s.Deadline.IsZero():
 		return fmt.Errorf("step %s: due_at is required", s.ID)
 	case len(s.Groups) == 0 || len(s.Groups) > MaxGroups:
 		return fmt.Errorf("step %s: %d groups: want 1 to %d", s.ID, len(s.Groups), MaxGroups)
@@ -91,9 +91,9 @@
 
 // The reasons for closing a step.
 const (
-	Complete  Reason = "complete"  // the desired groups are delivered
-	Due       Reason = "due"       // its time was up
-	Cancelled Reason = "cancelled" // its trainer ended it
+	Complete       Reason = "complete"  // the desired groups are delivered
+	DeadlinePassed Reason = "due"       // its time was up
+	Cancelled      Reason = "cancelled" // its trainer ended it
 )
 
 // Head is the record of a step in the platform's table. It is written when
@@ -105,7 +105,7 @@
 	Desired  int       `json:"desired"`
 	Groups   int       `json:"groups"`
 	Shards   int       `json:"shards"`
-	DueAt    time.Time `json:"due_at"`
+	Deadline time.Time `json:"due_at"`
 	Closed   Reason    `json:"closed,omitempty"`
 	ClosedAt time.Time `json:"closed_at"`
 }
@@ -114,7 +114,7 @@
 // groups.
 func NewHead(s Spec, perShard int) Head {
 	return Head{Customer: s.Customer, Entry: s.Entry, Digest: s.Digest(), Desired: s.Desired,
-		Groups: len(s.Groups), Shards: (len(s.Groups) + perShard - 1) / perShard, DueAt: s.DueAt}
+		Groups: len(s.Groups), Shards: (len(s.Groups) + perShard - 1) / perShard, Deadline: s.Deadline}
 }
 
 // ShardGroups returns the indexes of the groups in shard k: every
--- a/pkg/storepath/links.go
+++ b/pkg/storepath/links.go
@@ -25,10 +25,10 @@
 	Listen string // IP:port where peers connect; empty for nowhere
 	Direct platform.Store
 	Ping   func(ctx context.Context) error // as in Config
-	Start  func(func() error)              // as in Config
+	Go     func(func() error)              // as in Config
 
-	Observe func(w Way, err error)         // as in Config
-	Changed func(from, to Way, why string) // as in Config
+	OnCall   func(w AccessPath, err error)         // as in Config
+	OnChange func(from, to AccessPath, why string) // as in Config
 }
 
 // Links are an instance's store, by whatever way reaches it, over links to its
@@ -52,9 +52,9 @@
 			return nil, fmt.Errorf("listen %s: %w", cfg.Listen, err)
 		}
 	}
-	l.Store = New(Config{Direct: cfg.Direct, Ping: cfg.Ping, Start: cfg.Start, Observe: cfg.Observe, Changed: l.changed,
+	l.Store = New(Config{Direct: cfg.Direct, Ping: cfg.Ping, Go: cfg.Go, OnCall: cfg.OnCall, OnChange: l.changed,
 		Peers: func() []string { return l.peers() },
-		Peer:  func(address string) Peer { return &peer.StoreClient{Sessions: l.sessions, Address: address} }})
+		Peer:  func(address string) PeerStore { return &peer.StoreClient{Sessions: l.sessions, Address: address} }})
 	return l, nil
 }
 
@@ -67,12 +67,12 @@
 }
 
 // changed tells of another way, and closes the sessions that are not needed by it.
-func (l *Links) changed(from, to Way, why string) {
-	if l.cfg.Changed != nil {
-		l.cfg.Changed(from, to, why)
+func (l *Links) changed(from, to AccessPath, why string) {
+	if l.cfg.OnChange != nil {
+		l.cfg.OnChange(from, to, why)
 	}
-	l.cfg.Start(func() error {
-		l.sessions.Only(to.Peer)
+	l.cfg.Go(func() error {
+		l.sessions.CloseExcept(to.Peer)
 		return nil
 	})
 }
@@ -82,12 +82,12 @@
 // ask, as in Config.
 func (l *Links) Serve(ctx context.Context, peers func() []string, watch peer.WatchServer) {
 	l.peers = peers
-	l.cfg.Start(func() error { return l.Run(ctx) })
+	l.cfg.Go(func() error { return l.Run(ctx) })
 	context.AfterFunc(ctx, l.sessions.Close)
 	if l.listener == nil {
 		return
 	}
 	context.AfterFunc(ctx, func() { l.listener.Close() })
-	server := peer.NewStoreServer(l.cfg.Direct, l.cfg.Ping, watch, l.cfg.Start)
-	l.cfg.Start(func() error { return peer.Accept(ctx, l.listener, acceptedKeepAlive, l.cfg.Start, server.Serve) })
+	server := peer.NewStoreServer(l.cfg.Direct, l.cfg.Ping, watch, l.cfg.Go)
+	l.cfg.Go(func() error { return peer.Accept(ctx, l.listener, acceptedKeepAlive, l.cfg.Go, server.Serve) })
 }
--- a/pkg/storepath/look.go
+++ b/pkg/storepath/look.go
@@ -27,14 +27,14 @@
 func (s *Store) lookIsDue() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.path.LookIsDue(time.Now())
+	return s.path.CheckIsDue(time.Now())
 }
 
 // nextLook returns a channel that tells when the ways are looked at next though no
 // call asks for it.
 func (s *Store) nextLook() (<-chan time.Time, func() bool) {
 	s.mu.Lock()
-	at := s.path.NextLook(time.Now())
+	at := s.path.NextCheck(time.Now())
 	s.mu.Unlock()
 	if at.IsZero() {
 		return nil, func() bool { return false }
@@ -46,13 +46,13 @@
 // lookAgain looks for any way while there is none, and else whether the direct one
 // is back. Calls under way through a peer end there.
 func (s *Store) lookAgain(ctx context.Context) {
-	if s.Lost() {
-		s.cfg.Start(func() error {
+	if s.Unreachable() {
+		s.cfg.Go(func() error {
 			s.pingLost(ctx)
 			return nil
 		})
 		if s.checking.CompareAndSwap(false, true) {
-			s.cfg.Start(func() error {
+			s.cfg.Go(func() error {
 				defer s.checking.Store(false)
 				s.check(ctx, "looking again")
 				return nil
@@ -65,14 +65,14 @@
 	begun := time.Now()
 	err := s.cfg.Ping(pctx)
 	s.mu.Lock()
-	from := s.path.Way()
+	from := s.path.Path()
 	back := s.path.DirectPinged(time.Since(begun), err)
 	if back {
 		s.changed(from)
 	}
 	s.mu.Unlock()
 	if back {
-		s.cfg.Changed(from, Way{}, "answers again")
+		s.cfg.OnChange(from, AccessPath{}, "answers again")
 	}
 }
 
@@ -85,38 +85,38 @@
 	if s.cfg.Ping(ctx) != nil {
 		return
 	}
-	s.answered(Way{Kind: Lost}, "answers again")
+	s.answered(AccessPath{Kind: Unreachable}, "answers again")
 }
 
 // check looks at the ways and takes the one that is found, unless a call has found
 // one meanwhile. Calls under way by the one before are given up.
 func (s *Store) check(ctx context.Context, why string) {
-	from := s.Way()
+	from := s.Path()
 	w, ok := s.find(ctx)
 	if !ok {
 		return // ctx has ended
 	}
 	now := time.Now()
 	s.mu.Lock()
-	changed := s.path.Way() == from && s.path.Checked(w, now)
+	changed := s.path.Path() == from && s.path.Checked(w, now)
 	if changed {
 		s.changed(from)
 		s.giveUp(from, now)
 	}
 	s.mu.Unlock()
 	if changed {
-		s.cfg.Changed(from, w, why)
+		s.cfg.OnChange(from, w, why)
 	}
 }
 
 // find pings the ways until one is chosen; ok is false if ctx ended before.
-func (s *Store) find(ctx context.Context) (w Way, ok bool) {
+func (s *Store) find(ctx context.Context) (w AccessPath, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, PingTimeout)
 	defer cancel() // of the pings that are not waited for
 	v := survey{store: s, ended: make(chan Ping, 1+asked)}
 	begun := time.Now()
-	v.ping(ctx, Way{}, s.cfg.Ping)
-	wake := time.NewTimer(HeadStart)
+	v.ping(ctx, AccessPath{}, s.cfg.Ping)
+	wake := time.NewTimer(PeerPingDelay)
 	defer wake.Stop()
 	for {
 		select {
@@ -130,7 +130,7 @@
 			return w, true
 		}
 		if ctx.Err() == context.Canceled {
-			return Way{}, false
+			return AccessPath{}, false
 		}
 		wake.Reset(nextLimit(elapsed) - elapsed)
 	}
@@ -145,12 +145,12 @@
 }
 
 // ping begins a ping by way w.
-func (v *survey) ping(ctx context.Context, w Way, f func(context.Context) error) {
-	v.pings = append(v.pings, Ping{Way: w})
-	v.store.cfg.Start(func() error {
+func (v *survey) ping(ctx context.Context, w AccessPath, f func(context.Context) error) {
+	v.pings = append(v.pings, Ping{Path: w})
+	v.store.cfg.Go(func() error {
 		begun := time.Now()
 		err := f(ctx)
-		v.ended <- Ping{Way: w, Ended: true, Took: time.Since(begun), Err: err}
+		v.ended <- Ping{Path: w, Ended: true, Took: time.Since(begun), Err: err}
 		return nil
 	})
 }
@@ -158,7 +158,7 @@
 // take takes the outcome of a ping.
 func (v *survey) take(ended Ping) {
 	for i := range v.pings {
-		if v.pings[i].Way == ended.Way {
+		if v.pings[i].Path == ended.Path {
 			v.pings[i] = ended
 		}
 	}
@@ -167,20 +167,20 @@
 // askPeers asks peers, once, when the direct way has not answered in its head start.
 func (v *survey) askPeers(ctx context.Context, elapsed time.Duration) {
 	direct := v.pings[0]
-	if v.asking || direct.answered() || !direct.Ended && elapsed < HeadStart {
+	if v.asking || direct.answered() || !direct.Ended && elapsed < PeerPingDelay {
 		return
 	}
 	v.asking = true
 	all := v.store.cfg.Peers()
 	for _, addr := range all[:min(len(all), asked)] {
-		v.ping(ctx, Way{Kind: ThroughPeer, Peer: addr}, v.store.cfg.Peer(addr).Ping)
+		v.ping(ctx, AccessPath{Kind: ThroughPeer, Peer: addr}, v.store.cfg.Peer(addr).Ping)
 	}
 }
 
 // nextLimit returns the next time after the begin of a look at which the choice may
 // change without a ping's end.
 func nextLimit(elapsed time.Duration) time.Duration {
-	for _, limit := range []time.Duration{HeadStart, Good, PingTimeout} {
+	for _, limit := range []time.Duration{PeerPingDelay, FastPing, PingTimeout} {
 		if elapsed < limit {
 			return limit
 		}
--- a/pkg/storepath/path.go
+++ b/pkg/storepath/path.go
@@ -7,15 +7,15 @@
 import "time"
 
 const (
-	// Overdue is how long an answer may take until the way is looked at: the store
+	// AnswerTimeout is how long an answer may take until the way is looked at: the store
 	// answers in 4 to 10 ms, and one that is sixty times slower in 300 to 600.
-	Overdue = 250 * time.Millisecond
-	// Good is how fast a ping by a way must be answered for the way to be taken at
+	AnswerTimeout = 250 * time.Millisecond
+	// FastPing is how fast a ping by a way must be answered for the way to be taken at
 	// once: 20 times the usual. By a store that is slow for all, no way is good,
 	// and the direct one stays.
-	Good = 120 * time.Millisecond
-	// HeadStart is how long the direct way is asked before peers are.
-	HeadStart = 40 * time.Millisecond
+	FastPing = 120 * time.Millisecond
+	// PeerPingDelay is how long the direct way is asked before peers are.
+	PeerPingDelay = 40 * time.Millisecond
 	// PingTimeout bounds a ping: a store that answers sixty times more slowly than
 	// usual is still reached.
 	PingTimeout = 600 * time.Millisecond
@@ -34,8 +34,8 @@
 	returnAfter = 2
 )
 
-// Way is a way to the store.
-type Way struct {
+// AccessPath is a way to the store.
+type AccessPath struct {
 	Kind Kind
 	Peer string // address of the peer of ThroughPeer
 }
@@ -47,10 +47,10 @@
 const (
 	Direct Kind = iota
 	ThroughPeer
-	Lost // there is none: calls are tried directly, and callers are turned away
+	Unreachable // there is none: calls are tried directly, and callers are turned away
 )
 
-func (w Way) String() string {
+func (w AccessPath) String() string {
 	switch w.Kind {
 	case Direct:
 		return "direct"
@@ -62,7 +62,7 @@
 
 // Ping is what is known of one ping by a way.
 type Ping struct {
-	Way   Way // Direct or ThroughPeer
+	Path  AccessPath // Direct or ThroughPeer
 	Ended bool
 	Took  time.Duration // if it has ended
 	Err   error
@@ -78,58 +78,58 @@
 // The store is cut off silently: the direct ping has its Good time, in which it
 // would have answered. The store is slow for all, or away for all: no peer answers
 // soon, and the direct way stays, or there is none.
-func Choose(pings []Ping, elapsed time.Duration) (w Way, ok bool) {
+func Choose(pings []Ping, elapsed time.Duration) (w AccessPath, ok bool) {
 	var direct Ping
 	var peer, slowPeer *Ping
 	pending := false
 	for _, p := range pings {
 		switch {
-		case p.Way.Kind == Direct:
+		case p.Path.Kind == Direct:
 			direct = p
 		case !p.Ended:
 			pending = true
-		case p.answered() && p.Took <= Good && (peer == nil || p.Took < peer.Took):
+		case p.answered() && p.Took <= FastPing && (peer == nil || p.Took < peer.Took):
 			peer = &p
 		case p.answered() && (slowPeer == nil || p.Took < slowPeer.Took):
 			slowPeer = &p
 		}
 	}
-	directIsSlow := direct.Ended || elapsed >= Good
+	directIsSlow := direct.Ended || elapsed >= FastPing
 	switch {
-	case direct.answered() && direct.Took <= Good:
-		return Way{}, true
+	case direct.answered() && direct.Took <= FastPing:
+		return AccessPath{}, true
 	case peer != nil && directIsSlow:
-		return peer.Way, true
+		return peer.Path, true
 	case direct.answered():
-		return Way{}, true
+		return AccessPath{}, true
 	case (!direct.Ended || pending) && elapsed < PingTimeout:
-		return Way{}, false
+		return AccessPath{}, false
 	case slowPeer != nil:
-		return slowPeer.Way, true
+		return slowPeer.Path, true
 	}
-	return Way{Kind: Lost}, true
+	return AccessPath{Kind: Unreachable}, true
 }
 
-// Path is what an instance knows of its way to the store. It does no I/O.
-type Path struct {
-	way       Way
+// Selector is what an instance knows of its way to the store. It does no I/O.
+type Selector struct {
+	way       AccessPath
 	answered  time.Time // last answer by the way
 	checkedAt time.Time // when the last look ended
 	good      int       // direct pings answered in a row, while another way is taken
 }
 
-// Way returns the way that calls take.
-func (p *Path) Way() Way { return p.way }
+// Path returns the way that calls take.
+func (p *Selector) Path() AccessPath { return p.way }
 
 // Answered tells that a call by way w was answered at at, and reports whether
 // the way is another than before: a store that answers is not lost, though pings
 // of it were not answered, as it can serve a part of its partitions.
-func (p *Path) Answered(w Way, at time.Time) bool {
+func (p *Selector) Answered(w AccessPath, at time.Time) bool {
 	if w != p.way {
 		return false
 	}
-	if w.Kind == Lost {
-		return p.take(Way{})
+	if w.Kind == Unreachable {
+		return p.take(AccessPath{})
 	}
 	if at.After(p.answered) {
 		p.answered = at
@@ -139,41 +139,41 @@
 
 // Failed tells that a call by way w was turned away or broke off at at, and
 // reports whether the ways are to be looked at.
-func (p *Path) Failed(w Way, at time.Time) bool {
-	return w == p.way && p.LookIsDue(at)
+func (p *Selector) Failed(w AccessPath, at time.Time) bool {
+	return w == p.way && p.CheckIsDue(at)
 }
 
-// LookIsDue reports whether the last look is long enough ago for another.
-func (p *Path) LookIsDue(at time.Time) bool { return at.Sub(p.checkedAt) >= checkPause }
+// CheckIsDue reports whether the last look is long enough ago for another.
+func (p *Selector) CheckIsDue(at time.Time) bool { return at.Sub(p.checkedAt) >= checkPause }
 
 // Overdue tells that a call by way w, sent at sentAt, has not been answered in
 // time, and reports whether the ways are to be looked at: not if others were
 // answered meanwhile, as then its own answer was lost or the store holds it.
-func (p *Path) Overdue(w Way, sentAt, at time.Time) bool {
+func (p *Selector) Overdue(w AccessPath, sentAt, at time.Time) bool {
 	return !p.answered.After(sentAt) && p.Failed(w, at)
 }
 
 // Checked takes the way that a look has found at at, and reports whether it is
 // another than before.
-func (p *Path) Checked(w Way, at time.Time) bool {
+func (p *Selector) Checked(w AccessPath, at time.Time) bool {
 	p.checkedAt = at
 	return p.take(w)
 }
 
 // DirectPinged takes the outcome of a ping of the direct way while another is
 // taken, and reports whether the direct way is taken again.
-func (p *Path) DirectPinged(took time.Duration, err error) bool {
+func (p *Selector) DirectPinged(took time.Duration, err error) bool {
 	if p.way.Kind == Direct {
 		return false
 	}
 	p.good++
-	if err != nil || took > Good {
+	if err != nil || took > FastPing {
 		p.good = 0
 	}
-	return p.good >= returnAfter && p.take(Way{})
+	return p.good >= returnAfter && p.take(AccessPath{})
 }
 
-func (p *Path) take(w Way) bool {
+func (p *Selector) take(w AccessPath) bool {
 	if w == p.way {
 		return false
 	}
@@ -181,11 +181,11 @@
 	return true
 }
 
-// NextLook returns when the ways are looked at next though no call asks for it,
+// NextCheck returns when the ways are looked at next though no call asks for it,
 // after a look at at; zero for never.
-func (p *Path) NextLook(at time.Time) time.Time {
+func (p *Selector) NextCheck(at time.Time) time.Time {
 	switch p.way.Kind {
-	case Lost:
+	case Unreachable:
 		return at.Add(lostPause)
 	case ThroughPeer:
 		return at.Add(returnPause)
--- a/pkg/storepath/ping_test.go
+++ b/pkg/storepath/ping_test.go
@@ -23,7 +23,7 @@
 		slow   = 80 * time.Millisecond
 	)
 	var pings atomic.Int64
-	refused := fmt.Errorf("%w: busy", platform.ErrNotDone)
+	refused := fmt.Errorf("%w: busy", platform.ErrNotApplied)
 	address := servePings(t, func(context.Context) error {
 		pings.Add(1)
 		time.Sleep(slow)
@@ -97,7 +97,7 @@
 func servePings(t *testing.T, ping func(context.Context) error) string {
 	var group errgroup.Group
 	start := func(f func() error) { group.Go(f) }
-	links, err := storepath.Listen(storepath.LinksConfig{Listen: "127.0.0.1:0", Ping: ping, Start: start})
+	links, err := storepath.Listen(storepath.LinksConfig{Listen: "127.0.0.1:0", Ping: ping, Go: start})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/storepath/store.go
+++ b/pkg/storepath/store.go
@@ -10,8 +10,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// Peer is the store as a peer reaches it.
-type Peer interface {
+// PeerStore is the store as a peer reaches it.
+type PeerStore interface {
 	platform.Store
 	// Ping asks whether the peer reaches the store.
 	Ping(ctx context.Context) error
@@ -26,13 +26,13 @@
 	// Peers returns the addresses of peers to ask, the ones to ask first first.
 	Peers func() []string
 	// Peer returns the store as the peer at an address reaches it.
-	Peer func(address string) Peer
-	// Start starts a goroutine of the instance's group.
-	Start func(func() error)
-	// Observe is told of each call by its way, with its error; nil for nobody.
-	Observe func(w Way, err error)
-	// Changed is told when the way changes, and why; nil for nobody.
-	Changed func(from, to Way, why string)
+	Peer func(address string) PeerStore
+	// Go starts a goroutine of the instance's group.
+	Go func(func() error)
+	// OnCall is told of each call by its way, with its error; nil for nobody.
+	OnCall func(w AccessPath, err error)
+	// OnChange is told when the way changes, and why; nil for nobody.
+	OnChange func(from, to AccessPath, why string)
 }
 
 // Store is the platform's store by the way that reaches it. An outcome that is
@@ -45,7 +45,7 @@
 	checking atomic.Bool // a look at the ways is under way beside Run
 
 	mu    sync.Mutex
-	path  Path
+	path  Selector
 	calls map[*call]bool
 	lost  chan struct{} // closed while no way leads to the store
 }
@@ -54,32 +54,32 @@
 
 // call is a call under way.
 type call struct {
-	way    Way
+	way    AccessPath
 	begun  time.Time
 	cancel context.CancelFunc
 }
 
 // New returns a Store that takes the direct way.
 func New(cfg Config) *Store {
-	if cfg.Observe == nil {
-		cfg.Observe = func(Way, error) {}
+	if cfg.OnCall == nil {
+		cfg.OnCall = func(AccessPath, error) {}
 	}
-	if cfg.Changed == nil {
-		cfg.Changed = func(Way, Way, string) {}
+	if cfg.OnChange == nil {
+		cfg.OnChange = func(AccessPath, AccessPath, string) {}
 	}
 	return &Store{cfg: cfg, look: make(chan string, 1), calls: map[*call]bool{}, lost: make(chan struct{})}
 }
 
 // Lost reports whether no way leads to the store.
-func (s *Store) Lost() bool { return s.Way().Kind == Lost }
+func (s *Store) Unreachable() bool { return s.Path().Kind == Unreachable }
 
-// WhileReached returns a context that ends when no way leads to the store.
-func (s *Store) WhileReached(ctx context.Context) (context.Context, context.CancelFunc) {
+// WhileReachable returns a context that ends when no way leads to the store.
+func (s *Store) WhileReachable(ctx context.Context) (context.Context, context.CancelFunc) {
 	s.mu.Lock()
 	lost := s.lost
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
-	s.cfg.Start(func() error {
+	s.cfg.Go(func() error {
 		select {
 		case <-lost:
 			cancel()
@@ -91,20 +91,20 @@
 }
 
 // changed takes up another way than from. s.mu is held.
-func (s *Store) changed(from Way) {
+func (s *Store) changed(from AccessPath) {
 	switch {
-	case s.path.Way().Kind == Lost:
+	case s.path.Path().Kind == Unreachable:
 		close(s.lost)
-	case from.Kind == Lost:
+	case from.Kind == Unreachable:
 		s.lost = make(chan struct{})
 	}
 }
 
-// Way returns the way that calls take now.
-func (s *Store) Way() Way {
+// Path returns the way that calls take now.
+func (s *Store) Path() AccessPath {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.path.Way()
+	return s.path.Path()
 }
 
 // begin registers a call and returns the store by its way. Overdue is looked at
@@ -113,10 +113,10 @@
 	ctx, cancel := context.WithCancel(ctx)
 	c := &call{begun: time.Now(), cancel: cancel}
 	s.mu.Lock()
-	c.way = s.path.Way()
+	c.way = s.path.Path()
 	s.calls[c] = true
 	s.mu.Unlock()
-	timer := time.AfterFunc(wait+Overdue, func() {
+	timer := time.AfterFunc(wait+AnswerTimeout, func() {
 		s.mu.Lock()
 		look := s.path.Overdue(c.way, c.begun.Add(wait), time.Now())
 		s.mu.Unlock()
@@ -137,7 +137,7 @@
 	s.mu.Lock()
 	delete(s.calls, c)
 	s.mu.Unlock()
-	s.cfg.Observe(c.way, err)
+	s.cfg.OnCall(c.way, err)
 	if !errors.Is(err, platform.ErrUnavailable) {
 		s.answered(c.way, "answered")
 		return
@@ -154,23 +154,23 @@
 }
 
 // answered tells that the store was answered by way w.
-func (s *Store) answered(w Way, why string) {
+func (s *Store) answered(w AccessPath, why string) {
 	now := time.Now()
 	s.mu.Lock()
 	changed := s.path.Answered(w, now)
 	if changed {
 		s.changed(w)
-		s.giveUp(w, now.Add(-Overdue))
+		s.giveUp(w, now.Add(-AnswerTimeout))
 	}
 	s.mu.Unlock()
 	if changed {
-		s.cfg.Changed(w, Way{}, why)
+		s.cfg.OnChange(w, AccessPath{}, why)
 	}
 }
 
 // giveUp ends the calls by way w that were begun before a time: they would wait in
 // vain. s.mu is held.
-func (s *Store) giveUp(w Way, before time.Time) {
+func (s *Store) giveUp(w AccessPath, before time.Time) {
 	for c := range s.calls {
 		if c.way == w && c.begun.Before(before) {
 			c.cancel()
--- a/pkg/storepath/store_test.go
+++ b/pkg/storepath/store_test.go
@@ -38,8 +38,8 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
-	s := storepath.New(storepath.Config{Direct: direct, Ping: direct.Ping, Start: func(f func() error) { g.Go(f) },
-		Peer: func(address string) storepath.Peer { return peers[address] },
+	s := storepath.New(storepath.Config{Direct: direct, Ping: direct.Ping, Go: func(f func() error) { g.Go(f) },
+		Peer: func(address string) storepath.PeerStore { return peers[address] },
 		Peers: func() []string {
 			var out []string
 			for a := range peers {
@@ -84,11 +84,11 @@
 	if took := time.Since(begun); took > time.Second {
 		t.Errorf("an answer through a peer after %v", took)
 	}
-	peers[s.Way().Peer].silent.Store(true)
-	before := s.Way()
-	within(t, 2*time.Second, "an answer through the other peer", func() bool { return get() && s.Way() != before })
+	peers[s.Path().Peer].silent.Store(true)
+	before := s.Path()
+	within(t, 2*time.Second, "an answer through the other peer", func() bool { return get() && s.Path() != before })
 	direct.silent.Store(false)
-	within(t, 3*time.Second, "the direct way", func() bool { return s.Way() == storepath.Way{} })
+	within(t, 3*time.Second, "the direct way", func() bool { return s.Path() == storepath.AccessPath{} })
 }
 
 // While the store is away for all, callers that wait are let go, and it is taken
@@ -108,7 +108,7 @@
 	direct := &silentStore{}
 	s := newStore(t, direct, nil)
 	direct.silent.Store(true)
-	waiting, cancel := s.WhileReached(context.Background())
+	waiting, cancel := s.WhileReachable(context.Background())
 	defer cancel()
 	var g errgroup.Group
 	g.Go(func() error {
@@ -116,12 +116,12 @@
 		return err
 	})
 	defer func() { _ = g.Wait() }() // it is given up with the others
-	within(t, 2*time.Second, "the loss is noticed", s.Lost)
+	within(t, 2*time.Second, "the loss is noticed", s.Unreachable)
 	within(t, time.Second, "who waits is let go", func() bool { return waiting.Err() != nil })
 	time.Sleep(away)
 	direct.silent.Store(false)
 	begun := time.Now()
-	within(t, 2*time.Second, "the store is taken again", func() bool { return !s.Lost() })
+	within(t, 2*time.Second, "the store is taken again", func() bool { return !s.Unreachable() })
 	if took := time.Since(begun); took > 350*time.Millisecond {
 		t.Errorf("taken again after %v", took)
 	}
--- a/pkg/submission/append.go
+++ b/pkg/submission/append.go
@@ -14,7 +14,7 @@
 		return nil
 	}
 	if r.lost() {
-		return ErrLost
+		return ErrNotOwner
 	}
 	position, results := r.run.Unwritten()
 	if len(results) == 0 {
@@ -24,7 +24,7 @@
 	batch, wait := r.batch, r.pause
 	r.group.Go(func() error {
 		b, err := r.write(ctx, batch, position, results)
-		if err != nil && !errors.Is(err, ErrLost) {
+		if err != nil && !errors.Is(err, ErrNotOwner) {
 			clock.Sleep(ctx, wait)
 		}
 		r.tell(ctx, func(time.Time) { r.appended(b, err) })
@@ -38,26 +38,26 @@
 // write writes batch, or a new one of results if it is nil.
 func (r *Runner) write(ctx context.Context, batch *Batch, position int, results []Result) (*Batch, error) {
 	if batch == nil {
-		b, err := r.cfg.Log.Prepare(ctx, r.owned, position, results)
+		b, err := r.cfg.Repository.PrepareBatch(ctx, r.owned, position, results)
 		if err != nil {
 			return nil, err
 		}
 		batch = &b
 	}
-	return batch, r.cfg.Log.Append(ctx, r.owned, *batch)
+	return batch, r.cfg.Repository.Append(ctx, r.owned, *batch)
 }
 
 // appended takes the outcome of a write.
 func (r *Runner) appended(b *Batch, err error) {
 	r.appending = false
 	switch {
-	case errors.Is(err, ErrLost):
+	case errors.Is(err, ErrNotOwner):
 		r.owned.Fencing = 0
 		return
 	case err != nil:
 		r.batch = b
 		r.pause = min(2*r.pause, maxAppendPause)
-		r.cfg.Observe(Step{What: "results not written", Submission: r.spec.ID, Err: err})
+		r.cfg.OnEvent(RunEvent{What: "results not written", Submission: r.spec.ID, Err: err})
 		return
 	}
 	r.batch, r.pause = nil, appendPause
@@ -67,12 +67,12 @@
 	close(r.changed)
 	r.changed = make(chan struct{})
 	r.mu.Unlock()
-	r.cfg.Observe(Step{What: "listed", Submission: r.spec.ID, Position: b.Position, Events: len(b.Results)})
+	r.cfg.OnEvent(RunEvent{What: "listed", Submission: r.spec.ID, Position: b.Position, Events: len(b.Results)})
 }
 
 // complete marks the submission as one of which nothing runs any more.
 func (r *Runner) complete(ctx context.Context) error {
-	o, err := r.cfg.Log.Change(ctx, r.owned, func(h Head) (Head, bool) {
+	o, err := r.cfg.Repository.UpdateHead(ctx, r.owned, func(h Head) (Head, bool) {
 		if h.Owner != r.owned.Owner || !h.Open() {
 			return h, false
 		}
@@ -87,4 +87,4 @@
 
 // Head returns the head as the run left it, without a fencing token if the
 // submission was lost. It is called after Run has returned.
-func (r *Runner) Head() Owned { return r.owned }
+func (r *Runner) Head() HeadRow { return r.owned }
--- a/pkg/submission/batch.go
+++ b/pkg/submission/batch.go
@@ -18,9 +18,9 @@
 	ops      []platform.Op
 }
 
-// Prepare makes a Batch of the first of results, as many as fit into one
+// PrepareBatch makes a Batch of the first of results, as many as fit into one
 // transaction.
-func (l Log) Prepare(ctx context.Context, o Owned, position int, results []Result) (Batch, error) {
+func (l Repository) PrepareBatch(ctx context.Context, o HeadRow, position int, results []Result) (Batch, error) {
 	b := Batch{Position: position, ops: []platform.Op{platform.Check(headKey(o.ID), o.Fencing)}}
 	bytes := 0
 	for _, r := range results {
@@ -36,7 +36,7 @@
 	return b, nil
 }
 
-func (l Log) resultOp(ctx context.Context, id string, position int, r Result) (platform.Op, error) {
+func (l Repository) resultOp(ctx context.Context, id string, position int, r Result) (platform.Op, error) {
 	op, err := platform.Put(resultKey(id, position), 0, storedResult{Result: r})
 	if err != nil || len(op.Value) <= l.MaxRow {
 		return op, err
@@ -52,24 +52,24 @@
 	return platform.Put(resultKey(id, position), 0, storedResult{Result: Result{Item: r.Item, State: r.State}, Object: name})
 }
 
-// ErrLost is returned by Append when the submission has ended or another
+// ErrNotOwner is returned by Append when the submission has ended or another
 // instance owns it.
-var ErrLost = errors.New("submission: no longer owned")
+var ErrNotOwner = errors.New("submission: no longer owned")
 
 // Append writes b. It returns ErrLost if o is no longer the submission's head,
 // or an error of the platform, after which b is to be written again.
-func (l Log) Append(ctx context.Context, o Owned, b Batch) error {
+func (l Repository) Append(ctx context.Context, o HeadRow, b Batch) error {
 	_, err := l.Store.Commit(ctx, b.ops...)
 	var ce *platform.ConflictError
 	if !errors.As(err, &ce) {
 		return err
 	}
 	if ce.Key == headKey(o.ID) {
-		return ErrLost
+		return ErrNotOwner
 	}
 	for _, op := range b.ops {
 		if op.Key == ce.Key && !bytes.Equal(op.Value, ce.Current.Value) {
-			return fmt.Errorf("%w: %s holds another result", ErrLost, ce.Key)
+			return fmt.Errorf("%w: %s holds another result", ErrNotOwner, ce.Key)
 		}
 	}
 	return nil // written by an earlier call of this batch, whose answer was lost
--- a/pkg/submission/generate.go
+++ b/pkg/submission/generate.go
@@ -16,13 +16,13 @@
 // start starts item i and reports whether an engine had room for it.
 func (r *Runner) start(ctx context.Context, i int, rt routetable.Route, now time.Time) bool {
 	it := r.spec.Items[i]
-	after, versions := r.run.After(i)
+	after, versions := r.run.LastEvent(i)
 	expect := uint64(0)
-	w := upstream.Want{Pool: rt.Pick(r.cfg.Draw()), At: now, Model: r.spec.Model, MinVersion: r.spec.MinVersion, Affinity: it.Affinity, Bounded: true}
+	w := upstream.Requirements{Pool: rt.PickPool(r.cfg.Rand()), Now: now, Model: r.spec.Model, MinVersion: r.spec.MinVersion, Affinity: it.Affinity, NeedFreeSlot: true}
 	again := w // if it is moved
 	t, ok := r.cfg.Registry.Acquire(w)
-	named := r.cfg.Named(r.spec.Model)
-	if !ok && named >= r.spec.MinVersion && named > 0 && !r.cfg.Guard.OnTrial(r.generation(i, after).content(r.spec.Model), now) {
+	named := r.cfg.TargetVersion(r.spec.Model)
+	if !ok && named >= r.spec.MinVersion && named > 0 && !r.cfg.Guard.NeedsTrial(r.generation(i, after).content(r.spec.Model), now) {
 		// An engine may hold the version before its entry tells so. It is asked
 		// to turn the request away if it does not.
 		w.Outdated, expect = true, named
@@ -39,17 +39,17 @@
 		g.Version = expect
 	}
 	r.run.Started(i, now)
-	r.cfg.Observe(Step{What: "generating", Submission: r.spec.ID, Item: it.ID, Upstream: t.ID, Events: after})
+	r.cfg.OnEvent(RunEvent{What: "generating", Submission: r.spec.ID, Item: it.ID, Upstream: t.ID, Events: after})
 	r.group.Go(func() error {
-		p, err := r.generate(ctx, t, again, g, func(p Progress) {
-			r.tell(ctx, func(time.Time) { r.run.Extended(i, p, terms(rt)) })
+		p, err := r.generate(ctx, t, again, g, func(p AttemptOutput) {
+			r.tell(ctx, func(time.Time) { r.run.AddEvents(i, p, terms(rt)) })
 		})
-		ended := Step{What: "generated", Submission: r.spec.ID, Item: it.ID, Upstream: t.ID, Events: len(p.Events), Status: p.Status, Err: err}
+		ended := RunEvent{What: "generated", Submission: r.spec.ID, Item: it.ID, Upstream: t.ID, Events: len(p.Events), Status: p.Status, Err: err}
 		if err != nil && !errors.Is(err, forward.ErrNotRun) {
 			ended.Content = g.content(r.spec.Model).Fingerprint()
 		}
-		r.cfg.Observe(ended)
-		r.tell(ctx, func(now time.Time) { r.run.Generated(i, p, terms(rt), now) })
+		r.cfg.OnEvent(ended)
+		r.tell(ctx, func(now time.Time) { r.run.AttemptEnded(i, p, terms(rt), now) })
 		return nil
 	})
 	return true
@@ -58,36 +58,36 @@
 // generate reads one text, or a part of it, from the ticket's engine. again is
 // what it would ask of another one. flush is given the events as they come; the
 // last of them are returned.
-func (r *Runner) generate(owned context.Context, t *upstream.Ticket, again upstream.Want, g Generation, flush func(Progress)) (Progress, error) {
+func (r *Runner) generate(owned context.Context, t *upstream.Reservation, again upstream.Requirements, g GenerateRequest, flush func(AttemptOutput)) (AttemptOutput, error) {
 	guarded, err := r.cfg.Guard.Begin(owned, g.content(r.spec.Model), t.Entry)
 	if err != nil {
 		t.Release()
-		return Progress{}, err
+		return AttemptOutput{}, err
 	}
 	ctx, cancel := context.WithCancel(owned)
 	defer cancel()
 	silence := time.AfterFunc(firstEventLimit, cancel)
 	defer silence.Stop()
-	var p Progress
+	var p AttemptOutput
 	s, load, err := r.cfg.Generator.Generate(ctx, t.Entry, g)
 	if err == nil {
 		defer s.Close()
-		t.Observe(upstream.Report{At: time.Now(), Load: load, Versions: r.version(s.Version())})
+		t.Observe(upstream.AttemptResult{At: time.Now(), Load: load, Versions: r.version(s.Version())})
 		p, err = r.read(t, again, s, silence, flush)
 	}
 	now := time.Now()
-	rep := upstream.Report{At: now, Load: load}
+	rep := upstream.AttemptResult{At: now, Load: load}
 	var se *StatusError
 	switch {
 	case err == nil:
-		p.Whole = true
+		p.Complete = true
 	case errors.Is(err, errSlow):
 	case errors.As(err, &se):
 		p.Status, rep.Load = se.Status, se.Load
 		rep.Failed = se.Status > http.StatusInternalServerError
-	case errors.Is(err, ErrOtherVersion):
-		rep.OtherVersion = true
-	case forward.Refused(&rep, err, refusedPause):
+	case errors.Is(err, ErrVersionMismatch):
+		rep.VersionRefused = true
+	case forward.RecordRefusal(&rep, err, refusedPause):
 	case owned.Err() != nil:
 		// Cancelled here: that says nothing of the engine.
 	case ctx.Err() == nil && s != nil && s.Last() > g.After:
@@ -103,7 +103,7 @@
 }
 
 // outcome returns how an attempt at a text ended whose context was ctx.
-func outcome(ctx context.Context, p Progress, err error) quarantine.Outcome {
+func outcome(ctx context.Context, p AttemptOutput, err error) quarantine.Outcome {
 	switch {
 	case err == nil, p.Status != 0 && p.Status < http.StatusInternalServerError:
 		return quarantine.Answered
@@ -114,9 +114,9 @@
 	case errors.Is(err, forward.ErrNotRun):
 		return quarantine.NotRun
 	case errors.Is(err, errSlow), ctx.Err() != nil:
-		return quarantine.Left
+		return quarantine.Abandoned
 	}
-	return quarantine.Broken
+	return quarantine.ConnectionLost
 }
 
 // version tells what an engine's answer showed of its weights.
@@ -129,8 +129,8 @@
 
 // read reads the events of s. It ends early, with an error, at a version that
 // is too old for the submission, and when the engine is slow and another has room.
-func (r *Runner) read(t *upstream.Ticket, again upstream.Want, s Stream, silence *time.Timer, flush func(Progress)) (Progress, error) {
-	var p Progress
+func (r *Runner) read(t *upstream.Reservation, again upstream.Requirements, s Stream, silence *time.Timer, flush func(AttemptOutput)) (AttemptOutput, error) {
+	var p AttemptOutput
 	version := s.Version()
 	last := time.Now()
 	for {
@@ -156,13 +156,13 @@
 		if len(p.Events) < FlushEvents && now.Sub(last) < flushPeriod {
 			continue
 		}
-		t.Observe(upstream.Report{At: now, Pace: now.Sub(last) / time.Duration(len(p.Events))})
-		again.At = now
-		if t.Better(again, SlowEngine) {
+		t.Observe(upstream.AttemptResult{At: now, TimePerUnit: now.Sub(last) / time.Duration(len(p.Events))})
+		again.Now = now
+		if t.FasterAvailable(again, SlowEngineFactor) {
 			return p, errSlow
 		}
 		flush(p)
-		p, last = Progress{Versions: []uint64{version}}, now
+		p, last = AttemptOutput{Versions: []uint64{version}}, now
 		if version == 0 {
 			p.Versions = nil
 		}
--- a/pkg/submission/keep.go
+++ b/pkg/submission/keep.go
@@ -13,7 +13,7 @@
 	}
 	r.keepAt = now.Add(progressPeriod)
 	waits, runs, results := r.run.Counts()
-	r.cfg.Observe(Step{What: "progress", Submission: r.spec.ID, Waiting: waits, Running: runs, Position: results})
+	r.cfg.OnEvent(RunEvent{What: "progress", Submission: r.spec.ID, Waiting: waits, Running: runs, Position: results})
 	ps := r.run.Partials()
 	if len(ps) == 0 {
 		return
@@ -21,12 +21,12 @@
 	r.keeping = true
 	owned, before := r.owned, r.before
 	r.group.Go(func() error {
-		err := r.cfg.Log.PutProgress(ctx, owned, ps)
+		err := r.cfg.Repository.PutProgress(ctx, owned, ps)
 		if err == nil && before != 0 {
-			err = r.cfg.Log.DropProgress(ctx, owned.ID, before) // a successor needs the newer ones
+			err = r.cfg.Repository.DeleteProgress(ctx, owned.ID, before) // a successor needs the newer ones
 		}
 		if err != nil {
-			r.cfg.Observe(Step{What: "progress not kept", Submission: r.spec.ID, Err: err})
+			r.cfg.OnEvent(RunEvent{What: "progress not kept", Submission: r.spec.ID, Err: err})
 		}
 		r.tell(ctx, func(time.Time) {
 			r.keeping = false
@@ -38,16 +38,16 @@
 	})
 }
 
-// DropProgress deletes the texts that were kept of the submission, here and by
+// DeleteProgress deletes the texts that were kept of the submission, here and by
 // the owner before. It is called after Run has returned, if no successor needs
 // them.
-func (r *Runner) DropProgress(ctx context.Context) error {
-	err := r.cfg.Log.DropProgress(ctx, r.spec.ID, r.fencing)
+func (r *Runner) DeleteProgress(ctx context.Context) error {
+	err := r.cfg.Repository.DeleteProgress(ctx, r.spec.ID, r.fencing)
 	if r.before != 0 {
-		err = errors.Join(err, r.cfg.Log.DropProgress(ctx, r.spec.ID, r.before))
+		err = errors.Join(err, r.cfg.Repository.DeleteProgress(ctx, r.spec.ID, r.before))
 	}
 	return err
 }
 
 // Partials returns the texts that are begun. It is called after Run has returned.
-func (r *Runner) Partials() []Partial { return r.run.Partials() }
+func (r *Runner) Partials() []PartialText { return r.run.Partials() }
--- a/pkg/submission/left.go
+++ b/pkg/submission/left.go
@@ -11,25 +11,25 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// Left is what the owners before have left of a submission.
-type Left struct {
-	Results []Result  // written
-	Texts   []Partial // begun
-	// KeptUnder is the fencing token under which the texts were kept; 0 if
+// PriorWork is what the owners before have left of a submission.
+type PriorWork struct {
+	Results  []Result      // written
+	Partials []PartialText // begun
+	// ProgressToken is the fencing token under which the texts were kept; 0 if
 	// nobody kept any.
-	KeptUnder uint64
+	ProgressToken uint64
 }
 
-// Left reads what the owners before have left, given the head as they left it,
+// PriorWork reads what the owners before have left, given the head as they left it,
 // which has been claimed since so that none of them can write any more.
-func (l Log) Left(ctx context.Context, left Owned) (Left, error) {
-	var out Left
-	if !left.Claimed && left.Head.Progress == 0 {
+func (l Repository) PriorWork(ctx context.Context, left HeadRow) (PriorWork, error) {
+	var out PriorWork
+	if !left.Claimed && left.Head.ProgressToken == 0 {
 		return out, nil // nobody has run it
 	}
-	out.KeptUnder = left.Fencing
+	out.ProgressToken = left.Fencing
 	if left.Owner == "" {
-		out.KeptUnder = left.Head.Progress // given up
+		out.ProgressToken = left.Head.ProgressToken // given up
 	}
 	var g errgroup.Group
 	g.Go(func() (err error) {
@@ -37,14 +37,14 @@
 		return err
 	})
 	g.Go(func() (err error) {
-		out.Texts, err = l.progress(ctx, left.ID, out.KeptUnder)
+		out.Partials, err = l.progress(ctx, left.ID, out.ProgressToken)
 		return err
 	})
 	return out, g.Wait()
 }
 
-// Partial is the text of an item that is not whole yet.
-type Partial struct {
+// PartialText is the text of an item that is not whole yet.
+type PartialText struct {
 	Item     string   `json:"item"`
 	Text     []string `json:"text"`
 	After    int      `json:"after"`
@@ -56,7 +56,7 @@
 }
 
 // PutProgress keeps the texts that the owner o has so far, for its successor.
-func (l Log) PutProgress(ctx context.Context, o Owned, ps []Partial) error {
+func (l Repository) PutProgress(ctx context.Context, o HeadRow, ps []PartialText) error {
 	data, err := json.Marshal(ps)
 	if err != nil {
 		return err
@@ -66,7 +66,7 @@
 
 // progress returns the texts that were kept under a fencing token. There are none
 // if none were.
-func (l Log) progress(ctx context.Context, id string, fencing uint64) ([]Partial, error) {
+func (l Repository) progress(ctx context.Context, id string, fencing uint64) ([]PartialText, error) {
 	data, err := l.Store.GetObject(ctx, progressName(id, fencing))
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil, nil
@@ -74,6 +74,6 @@
 	if err != nil {
 		return nil, err
 	}
-	var ps []Partial
+	var ps []PartialText
 	return ps, json.Unmarshal(data, &ps)
 }
--- a/pkg/submission/log.go
+++ b/pkg/submission/log.go
@@ -26,16 +26,16 @@
 	scanRows = 100
 )
 
-// Log keeps submissions and their results in the store.
-type Log struct {
+// Repository keeps submissions and their results in the store.
+type Repository struct {
 	Store Store
 	// MaxRow is the largest value of a row, in bytes; results that are longer
 	// are kept as objects.
 	MaxRow int
 }
 
-// Owned is a submission's head as it was written by its owner.
-type Owned struct {
+// HeadRow is a submission's head as it was written by its owner.
+type HeadRow struct {
 	Head
 	Fencing uint64 // version of the head's row
 }
@@ -53,10 +53,10 @@
 // tries that until ctx ends. Its errors tell whether s
 // may have been kept: platform.ErrNotDone means that it is not and will not
 // be. Another copy of s that is kept already is no error; its head is returned.
-func (l Log) Accept(ctx context.Context, s Spec, owner string, claimed bool, now time.Time) (Owned, error) {
+func (l Repository) Accept(ctx context.Context, s Spec, owner string, claimed bool, now time.Time) (HeadRow, error) {
 	data, err := json.Marshal(s)
 	if err != nil {
-		return Owned{}, fmt.Errorf("submission %s: %w", s.ID, err)
+		return HeadRow{}, fmt.Errorf("submission %s: %w", s.ID, err)
 	}
 	for {
 		err = l.Store.PutObject(ctx, specName(s.ID, s.Customer), data)
@@ -64,20 +64,20 @@
 			break
 		}
 		if !clock.Sleep(ctx, retryPause) {
-			return Owned{}, fmt.Errorf("%w: its object: %v", platform.ErrNotDone, err) // without a head, nothing is kept
+			return HeadRow{}, fmt.Errorf("%w: its object: %v", platform.ErrNotApplied, err) // without a head, nothing is kept
 		}
 	}
 	h := Head{ID: s.ID, Host: s.Host, Path: s.Path, Model: s.Model, Customer: s.Customer, MinVersion: s.MinVersion, Step: s.Step,
-		Total: len(s.Items), Work: s.Work(), AcceptedAt: now.UTC().Round(0), Owner: owner, Claimed: claimed} // as it is read back
+		Total: len(s.Items), EstimatedLength: s.EstimatedLength(), AcceptedAt: now.UTC().Round(0), Owner: owner, Claimed: claimed} // as it is read back
 	return l.put(ctx, h, 0)
 }
 
 // put writes h if its row is at expect, until ctx ends or the outcome is known.
 // A row that stands there already is returned instead.
-func (l Log) put(ctx context.Context, h Head, expect uint64) (Owned, error) {
+func (l Repository) put(ctx context.Context, h Head, expect uint64) (HeadRow, error) {
 	op, err := platform.Put(headKey(h.ID), expect, h)
 	if err != nil {
-		return Owned{}, err
+		return HeadRow{}, err
 	}
 	unknown := false // an earlier call may still be carried out
 	for {
@@ -85,42 +85,42 @@
 		var ce *platform.ConflictError
 		switch {
 		case err == nil:
-			return Owned{Head: h, Fencing: rows[0].Version}, nil
+			return HeadRow{Head: h, Fencing: rows[0].Version}, nil
 		case errors.As(err, &ce):
 			if ce.Current.Version == 0 {
-				return Owned{}, ErrUnknown
+				return HeadRow{}, ErrNotFound
 			}
 			cur, err := DecodeHead(ce.Current)
-			return Owned{Head: cur, Fencing: ce.Current.Version}, err
+			return HeadRow{Head: cur, Fencing: ce.Current.Version}, err
 		case !errors.Is(err, platform.ErrUnavailable):
-			return Owned{}, err
+			return HeadRow{}, err
 		}
-		unknown = unknown || !errors.Is(err, platform.ErrNotDone)
+		unknown = unknown || !errors.Is(err, platform.ErrNotApplied)
 		if !clock.Sleep(ctx, retryPause) {
 			if unknown {
-				return Owned{}, fmt.Errorf("submission %s: outcome unknown: %w", h.ID, platform.ErrUnavailable)
+				return HeadRow{}, fmt.Errorf("submission %s: outcome unknown: %w", h.ID, platform.ErrUnavailable)
 			}
-			return Owned{}, fmt.Errorf("submission %s: %w", h.ID, err)
+			return HeadRow{}, fmt.Errorf("submission %s: %w", h.ID, err)
 		}
 	}
 }
 
 // Head reads the head of a submission, or ErrUnknown, or ErrNotSure.
-func (l Log) Head(ctx context.Context, id string) (Owned, error) {
+func (l Repository) Head(ctx context.Context, id string) (HeadRow, error) {
 	row, err := l.Store.Get(ctx, headKey(id))
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
-		return Owned{}, ErrUnknown
+		return HeadRow{}, ErrNotFound
 	case err != nil:
-		return Owned{}, fmt.Errorf("%w: %v", ErrNotSure, err)
+		return HeadRow{}, fmt.Errorf("%w: %v", ErrStoreUnavailable, err)
 	}
 	h, err := DecodeHead(row)
-	return Owned{Head: h, Fencing: row.Version}, err
+	return HeadRow{Head: h, Fencing: row.Version}, err
 }
 
-// Change rewrites a head until ctx ends: change returns the new head, or false
+// UpdateHead rewrites a head until ctx ends: change returns the new head, or false
 // if nothing is to be written. It returns the head as it stands then.
-func (l Log) Change(ctx context.Context, cur Owned, change func(Head) (Head, bool)) (Owned, error) {
+func (l Repository) UpdateHead(ctx context.Context, cur HeadRow, change func(Head) (Head, bool)) (HeadRow, error) {
 	for {
 		next, ok := change(cur.Head)
 		if !ok {
@@ -128,7 +128,7 @@
 		}
 		got, err := l.put(ctx, next, cur.Fencing)
 		if err != nil {
-			return Owned{}, err
+			return HeadRow{}, err
 		}
 		if got.Head == next {
 			return got, nil
@@ -140,27 +140,27 @@
 // Claim makes owner the one that runs a submission, given the head as it was
 // left, and returns the head that fences it. It returns ErrLost if the head has
 // changed: what was left is then another's, or more than the caller knows of.
-func (l Log) Claim(ctx context.Context, left Owned, owner string) (Owned, error) {
+func (l Repository) Claim(ctx context.Context, left HeadRow, owner string) (HeadRow, error) {
 	if !left.Open() {
-		return Owned{}, ErrLost
+		return HeadRow{}, ErrNotOwner
 	}
 	claimed := left.Head
-	claimed.Owner, claimed.Claimed, claimed.Progress = owner, true, 0
+	claimed.Owner, claimed.Claimed, claimed.ProgressToken = owner, true, 0
 	if claimed == left.Head {
 		return left, nil // claimed before
 	}
 	got, err := l.put(ctx, claimed, left.Fencing)
 	if err == nil && got.Head != claimed {
-		return Owned{}, ErrLost
+		return HeadRow{}, ErrNotOwner
 	}
 	return got, err
 }
 
 // Spec reads what the sender of a submission handed over.
-func (l Log) Spec(ctx context.Context, o Owned) (Spec, error) {
+func (l Repository) Spec(ctx context.Context, o HeadRow) (Spec, error) {
 	data, err := l.Store.GetObject(ctx, specName(o.ID, o.Customer))
 	if err != nil {
-		return Spec{}, fmt.Errorf("%w: %w", ErrNotSure, err)
+		return Spec{}, fmt.Errorf("%w: %w", ErrStoreUnavailable, err)
 	}
 	var s Spec
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -169,17 +169,17 @@
 	return s, nil
 }
 
-// DropSpec deletes what Accept wrote of a submission that is not kept, as another
+// DeleteSpec deletes what Accept wrote of a submission that is not kept, as another
 // customer's has its ID.
-func (l Log) DropSpec(ctx context.Context, s Spec) error {
+func (l Repository) DeleteSpec(ctx context.Context, s Spec) error {
 	return l.Store.DeleteObject(ctx, specName(s.ID, s.Customer))
 }
 
 // Results reads up to limit results from position on.
-func (l Log) Results(ctx context.Context, id string, position, limit int) ([]Result, error) {
+func (l Repository) Results(ctx context.Context, id string, position, limit int) ([]Result, error) {
 	page, err := l.Store.ScanFrom(ctx, resultsPrefix(id), resultKey(id, position), limit)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrNotSure, err)
+		return nil, fmt.Errorf("%w: %v", ErrStoreUnavailable, err)
 	}
 	out := make([]Result, 0, len(page.Rows))
 	for _, row := range page.Rows {
@@ -193,7 +193,7 @@
 }
 
 // AllResults reads every result.
-func (l Log) AllResults(ctx context.Context, id string) ([]Result, error) {
+func (l Repository) AllResults(ctx context.Context, id string) ([]Result, error) {
 	var out []Result
 	for {
 		rs, err := l.Results(ctx, id, len(out), scanRows)
@@ -221,7 +221,7 @@
 	return s, nil
 }
 
-func (l Log) decodeResult(ctx context.Context, row platform.Row) (Result, error) {
+func (l Repository) decodeResult(ctx context.Context, row platform.Row) (Result, error) {
 	s, err := decodeStored(row)
 	if err != nil {
 		return Result{}, err
@@ -231,7 +231,7 @@
 	}
 	data, err := l.Store.GetObject(ctx, s.Object)
 	if err != nil {
-		return Result{}, fmt.Errorf("%w: %v", ErrNotSure, err)
+		return Result{}, fmt.Errorf("%w: %v", ErrStoreUnavailable, err)
 	}
 	var r Result
 	if err := json.Unmarshal(data, &r); err != nil {
--- a/pkg/submission/run.go
+++ b/pkg/submission/run.go
@@ -29,8 +29,8 @@
 	giveUpMargin = 10 * time.Second
 )
 
-// Terms are what a submission's route asks of its items.
-type Terms struct {
+// ItemPolicy are what a submission's route asks of its items.
+type ItemPolicy struct {
 	MaxAttempts   int           // answers of 500 after which an item is given up
 	MaxAge        time.Duration // 0 for never
 	SingleVersion bool
@@ -54,18 +54,18 @@
 	text      []string
 	after     int // last event of the text
 	versions  []uint64
-	course    Course
+	course    ItemTiming
 }
 
 // NewRun returns the run of s, of which the results given are written already
 // and the texts given are begun.
-func NewRun(s Spec, written []Result, begun []Partial) *Run {
+func NewRun(s Spec, written []Result, begun []PartialText) *Run {
 	r := &Run{spec: s, items: make([]item, len(s.Items)), listed: len(written)}
 	done := make(map[string]bool, len(written))
 	for _, w := range written {
 		done[w.Item] = true
 	}
-	texts := make(map[string]Partial, len(begun))
+	texts := make(map[string]PartialText, len(begun))
 	for _, p := range begun {
 		texts[p.Item] = p
 	}
@@ -81,11 +81,11 @@
 }
 
 // Partials returns the texts that are begun and have no result.
-func (r *Run) Partials() []Partial {
-	var out []Partial
+func (r *Run) Partials() []PartialText {
+	var out []PartialText
 	for i, it := range r.items {
 		if it.after > 0 && it.phase != finished && it.phase != listed {
-			out = append(out, Partial{Item: r.spec.Items[i].ID, Text: it.text, After: it.after, Versions: slices.Clone(it.versions)})
+			out = append(out, PartialText{Item: r.spec.Items[i].ID, Text: it.text, After: it.after, Versions: slices.Clone(it.versions)})
 		}
 	}
 	return out
@@ -132,30 +132,30 @@
 // Postpone keeps item i, waiting or unscored, from being tried before a time.
 func (r *Run) Postpone(i int, until time.Time) { r.items[i].notBefore = until }
 
-// After returns the last event of item i's text so far, and the weight
+// LastEvent returns the last event of item i's text so far, and the weight
 // versions that made it.
-func (r *Run) After(i int) (event int, versions []uint64) {
+func (r *Run) LastEvent(i int) (event int, versions []uint64) {
 	return r.items[i].after, r.items[i].versions
 }
 
-// Progress is what an attempt at an item's text gave, or a part of it.
-type Progress struct {
+// AttemptOutput is what an attempt at an item's text gave, or a part of it.
+type AttemptOutput struct {
 	Events   []Event
 	Versions []uint64 // that made Events, oldest first
-	Whole    bool     // the text is complete
+	Complete bool     // the text is complete
 	Status   int      // of an answer that was no text; 0 for none
 }
 
-// Extended tells of events that item i's attempt has given, while it goes on.
-func (r *Run) Extended(i int, p Progress, t Terms) {
+// AddEvents tells of events that item i's attempt has given, while it goes on.
+func (r *Run) AddEvents(i int, p AttemptOutput, t ItemPolicy) {
 	if it := &r.items[i]; it.phase == running {
 		it.course.extended(len(p.Events))
 		it.extend(p, r.spec.MinVersion, t)
 	}
 }
 
-// Generated tells how an attempt at item i ended at now.
-func (r *Run) Generated(i int, p Progress, t Terms, now time.Time) {
+// AttemptEnded tells how an attempt at item i ended at now.
+func (r *Run) AttemptEnded(i int, p AttemptOutput, t ItemPolicy, now time.Time) {
 	it := &r.items[i]
 	it.phase = waiting
 	it.course.extended(len(p.Events))
@@ -171,7 +171,7 @@
 			return
 		}
 	}
-	whole := it.extend(p, r.spec.MinVersion, t) && p.Whole && it.after > 0
+	whole := it.extend(p, r.spec.MinVersion, t) && p.Complete && it.after > 0
 	switch {
 	case whole && r.spec.Items[i].Scorer != nil:
 		it.phase = unscored
@@ -185,7 +185,7 @@
 // extend adds an attempt's events to the text and reports whether the text
 // stands. One that may not be delivered as it is, too old or of several
 // versions, is begun anew; what its attempt still gives does not follow on then.
-func (it *item) extend(p Progress, minVersion uint64, t Terms) bool {
+func (it *item) extend(p AttemptOutput, minVersion uint64, t ItemPolicy) bool {
 	for _, e := range p.Events {
 		if e.ID != it.after+1 {
 			return false
@@ -207,8 +207,8 @@
 	return true
 }
 
-// Scored is what a call of a scorer gave.
-type Scored struct {
+// ScoreResult is what a call of a scorer gave.
+type ScoreResult struct {
 	Score       string // the scorer's proof; empty if the call failed
 	Status      int    // of its answer; 0 for none
 	MaxAttempts int    // answers of 500 after which its item is given up
@@ -216,8 +216,8 @@
 	Quarantined bool
 }
 
-// Scored tells how a call of item i's scorer ended.
-func (r *Run) Scored(i int, s Scored, now time.Time) {
+// ScoringEnded tells how a call of item i's scorer ended.
+func (r *Run) ScoringEnded(i int, s ScoreResult, now time.Time) {
 	it := &r.items[i]
 	it.phase = unscored
 	if s.Score != "" {
@@ -239,7 +239,7 @@
 
 // GiveUp ends the items that are too old, given the age of the submission by
 // a clock that may be seconds off, and those whose route is gone.
-func (r *Run) GiveUp(age time.Duration, t Terms, routeGone bool, now time.Time) {
+func (r *Run) GiveUp(age time.Duration, t ItemPolicy, routeGone bool, now time.Time) {
 	if !routeGone && (t.MaxAge == 0 || age < t.MaxAge+giveUpMargin) {
 		return
 	}
--- a/pkg/submission/run_test.go
+++ b/pkg/submission/run_test.go
@@ -57,21 +57,21 @@
 			}
 			spec.Items = append(spec.Items, it)
 		}
-		terms := submission.Terms{MaxAttempts: 3, SingleVersion: rapid.Bool().Draw(t, "single")}
+		terms := submission.ItemPolicy{MaxAttempts: 3, SingleVersion: rapid.Bool().Draw(t, "single")}
 		run := submission.NewRun(spec, nil, nil)
 		var written []submission.Result
 		flying := []*attempt{}
 		errors, declined := map[int]int{}, map[int]int{}
 		made := map[int][]uint64{} // version of each event of the text so far
 
-		end := func(t *rapid.T, a *attempt, p submission.Progress) {
+		end := func(t *rapid.T, a *attempt, p submission.AttemptOutput) {
 			flying = slices.DeleteFunc(flying, func(b *attempt) bool { return a == b })
-			run.Generated(a.item, p, terms, now)
+			run.AttemptEnded(a.item, p, terms, now)
 		}
 		take := func(t *rapid.T) {
 			if wait := run.Waiting(now); len(wait) > 0 {
 				i := wait[0]
-				after, _ := run.After(i)
+				after, _ := run.LastEvent(i)
 				if after == 0 {
 					made[i] = nil
 				}
@@ -83,9 +83,9 @@
 				flying = append(flying, &attempt{item: wait[0], scoring: true})
 			}
 		}
-		give := func(a *attempt, n int) submission.Progress {
+		give := func(a *attempt, n int) submission.AttemptOutput {
 			to := min(a.given+n, textEvents)
-			p := submission.Progress{Events: events(a.item, a.given+1, to)}
+			p := submission.AttemptOutput{Events: events(a.item, a.given+1, to)}
 			if to > a.given {
 				p.Versions = []uint64{a.version}
 			}
@@ -99,7 +99,7 @@
 			"take": take,
 			"extend": func(t *rapid.T) {
 				if a := draw(t, flying, false); a != nil {
-					run.Extended(a.item, give(a, rapid.IntRange(1, 3).Draw(t, "n")), terms)
+					run.AddEvents(a.item, give(a, rapid.IntRange(1, 3).Draw(t, "n")), terms)
 				}
 			},
 			"break": func(t *rapid.T) {
@@ -110,13 +110,13 @@
 			"fail": func(t *rapid.T) {
 				if a := draw(t, flying, false); a != nil && a.given == a.begun {
 					errors[a.item]++
-					end(t, a, submission.Progress{Status: http.StatusInternalServerError})
+					end(t, a, submission.AttemptOutput{Status: http.StatusInternalServerError})
 				}
 			},
 			"finish": func(t *rapid.T) {
 				if a := draw(t, flying, false); a != nil {
 					p := give(a, textEvents)
-					p.Whole = true
+					p.Complete = true
 					end(t, a, p)
 				}
 			},
@@ -126,14 +126,14 @@
 					return
 				}
 				flying = slices.DeleteFunc(flying, func(b *attempt) bool { return a == b })
-				s := submission.Scored{MaxAttempts: 4, Status: rapid.SampledFrom([]int{0, 200, 500, 503}).Draw(t, "status")}
+				s := submission.ScoreResult{MaxAttempts: 4, Status: rapid.SampledFrom([]int{0, 200, 500, 503}).Draw(t, "status")}
 				switch s.Status {
 				case 200:
 					s.Score = "proof"
 				case 500:
 					declined[a.item]++
 				}
-				run.Scored(a.item, s, now)
+				run.ScoringEnded(a.item, s, now)
 			},
 			"advance": func(*rapid.T) { now = now.Add(60 * time.Millisecond) },
 			"write": func(t *rapid.T) {
@@ -149,7 +149,7 @@
 				begun := run.Partials()
 				run, flying = submission.NewRun(spec, written, begun), nil
 				for i := range spec.Items {
-					after, _ := run.After(i)
+					after, _ := run.LastEvent(i)
 					made[i] = made[i][:min(after, len(made[i]))]
 				}
 			},
@@ -171,7 +171,7 @@
 	return rapid.SampledFrom(of).Draw(t, "attempt")
 }
 
-func check(t *rapid.T, spec submission.Spec, written []submission.Result, terms submission.Terms, scored bool, errors, declined map[int]int) {
+func check(t *rapid.T, spec submission.Spec, written []submission.Result, terms submission.ItemPolicy, scored bool, errors, declined map[int]int) {
 	seen := map[string]bool{}
 	for _, r := range written {
 		if seen[r.Item] {
@@ -198,7 +198,7 @@
 // texts begin first, and those that are begun before all others.
 func TestLongTextsFirst(t *testing.T) {
 	spec := submission.Spec{Items: []submission.Item{{ID: "a", Length: 3}, {ID: "b", Length: 90}, {ID: "c"}, {ID: "d", Length: 20}}}
-	r := submission.NewRun(spec, nil, []submission.Partial{{Item: "c", Text: []string{"x"}, After: 1}})
+	r := submission.NewRun(spec, nil, []submission.PartialText{{Item: "c", Text: []string{"x"}, After: 1}})
 	if got := r.Waiting(time.Now()); !slices.Equal(got, []int{2, 1, 3, 0}) {
 		t.Fatalf("order %v", got)
 	}
@@ -208,7 +208,7 @@
 // clock, and when its route is gone.
 func TestGiveUp(t *testing.T) {
 	spec := submission.Spec{Items: []submission.Item{{ID: "a"}}}
-	terms := submission.Terms{MaxAttempts: 3, MaxAge: 40 * time.Second}
+	terms := submission.ItemPolicy{MaxAttempts: 3, MaxAge: 40 * time.Second}
 	r := submission.NewRun(spec, nil, nil)
 	r.GiveUp(45*time.Second, terms, false, time.Time{})
 	if _, results := r.Unwritten(); len(results) != 0 {
@@ -219,7 +219,7 @@
 		t.Fatalf("%v", results)
 	}
 	r = submission.NewRun(spec, nil, nil)
-	r.GiveUp(0, submission.Terms{}, true, time.Time{})
+	r.GiveUp(0, submission.ItemPolicy{}, true, time.Time{})
 	if _, results := r.Unwritten(); len(results) != 1 {
 		t.Fatal("kept without a route")
 	}
