--- a/pkg/submission/runner.go
+++ b/pkg/submission/runner.go
@@ -27,9 +27,9 @@
 	flushPeriod = 250 * time.Millisecond
 	// progressPeriod is how often the texts so far are kept for a successor.
 	progressPeriod = 700 * time.Millisecond
-	// SlowEngine is how many times the usual time an engine takes from which on
+	// SlowEngineFactor is how many times the usual time an engine takes from which on
 	// a text goes on at another.
-	SlowEngine = 2
+	SlowEngineFactor = 2
 	// roomPeriod is how often an owner looks for room at engines while items wait.
 	roomPeriod = 15 * time.Millisecond
 	// idlePeriod is how often it looks otherwise.
@@ -47,30 +47,30 @@
 
 // Config configures a Runner.
 type Config struct {
-	Log       Log
-	Registry  *upstream.Registry
-	Generator Generator
+	Repository Repository
+	Registry   *upstream.Registry
+	Generator  Generator
 	// Guard keeps items that crash engines from them; nil for none.
 	Guard *quarantine.Guard
 	// Score sends one call of a scorer.
-	Score func(ctx context.Context, c Call) Scored
-	// ScoreRoom returns how many calls of c's scorer may be under way at once.
-	ScoreRoom func(c Call) int
+	Score func(ctx context.Context, c Call) ScoreResult
+	// ScorerLimit returns how many calls of c's scorer may be under way at once.
+	ScorerLimit func(c Call) int
 	// Route returns the route in force for a host and path; known is false
 	// while no configuration is.
 	Route func(host, path string) (rt routetable.Route, ok, known bool)
-	// Named returns the newest version that is named of a model, 0 if none is.
-	Named func(model string) uint64
+	// TargetVersion returns the newest version that is named of a model, 0 if none is.
+	TargetVersion func(model string) uint64
 	// Priority returns the priority of a customer's items, if it has one; nil for none.
 	Priority func(customer string) option.Of[int]
-	// Draw returns a number drawn evenly from [0, 1).
-	Draw func() float64
-	// Observe is told what happens; nil for nothing.
-	Observe func(Step)
+	// Rand returns a number drawn evenly from [0, 1).
+	Rand func() float64
+	// OnEvent is told what happens; nil for nothing.
+	OnEvent func(RunEvent)
 }
 
-// Step is something that happened to an item or a submission, for the log.
-type Step struct {
+// RunEvent is something that happened to an item or a submission, for the log.
+type RunEvent struct {
 	What       string
 	Submission string
 	Item       string
@@ -87,7 +87,7 @@
 // Runner runs one submission at the instance that owns it.
 type Runner struct {
 	cfg     Config
-	owned   Owned // without a fencing token once it is lost
+	owned   HeadRow // without a fencing token once it is lost
 	spec    Spec
 	fencing uint64 // that the submission was claimed with
 	run     *Run
@@ -110,18 +110,18 @@
 }
 
 // NewRunner returns the Runner of a submission.
-func NewRunner(cfg Config, o Owned, s Spec, left Left) *Runner {
-	if cfg.Observe == nil {
-		cfg.Observe = func(Step) {}
+func NewRunner(cfg Config, o HeadRow, s Spec, left PriorWork) *Runner {
+	if cfg.OnEvent == nil {
+		cfg.OnEvent = func(RunEvent) {}
 	}
 	if cfg.Priority == nil {
 		cfg.Priority = func(string) option.Of[int] { return option.Of[int]{} }
 	}
-	before := left.KeptUnder
+	before := left.ProgressToken
 	if before == o.Fencing {
 		before = 0 // this instance's own, of before it adopted what it owned
 	}
-	return &Runner{cfg: cfg, owned: o, fencing: o.Fencing, spec: s, run: NewRun(s, left.Results, left.Texts), results: left.Results,
+	return &Runner{cfg: cfg, owned: o, fencing: o.Fencing, spec: s, run: NewRun(s, left.Results, left.Partials), results: left.Results,
 		events: make(chan func(time.Time), len(s.Items)), changed: make(chan struct{}), pause: appendPause,
 		before: before}
 }
@@ -164,15 +164,15 @@
 
 // Summary is what a run of a submission took, for the log.
 type Summary struct {
-	Last              Course // of the item that had its result last
-	BegunAt, EndedAt  time.Time
-	Attempts, Refused int // of all items, at engines
+	LastItem                ItemTiming // of the item that had its result last
+	StartedAt, EndedAt      time.Time
+	Attempts, EmptyAttempts int // of all items, at engines
 }
 
 // Summary is called after Run has returned.
 func (r *Runner) Summary() Summary {
-	s := Summary{BegunAt: r.begunAt, EndedAt: r.endedAt}
-	s.Last, s.Attempts, s.Refused = r.run.Last()
+	s := Summary{StartedAt: r.begunAt, EndedAt: r.endedAt}
+	s.LastItem, s.Attempts, s.EmptyAttempts = r.run.LastFinished()
 	return s
 }
 
@@ -206,8 +206,8 @@
 	}
 }
 
-func terms(rt routetable.Route) Terms {
-	return Terms{MaxAttempts: rt.MaxAttempts, MaxAge: rt.MaxAge, SingleVersion: rt.SingleVersion}
+func terms(rt routetable.Route) ItemPolicy {
+	return ItemPolicy{MaxAttempts: rt.MaxAttempts, MaxAge: rt.MaxAge, SingleVersion: rt.SingleVersion}
 }
 
 // startAll starts what may run now.
@@ -238,26 +238,26 @@
 }
 
 // generation returns what is asked of an engine for item i, to go on after an event.
-func (r *Runner) generation(i, after int) Generation {
+func (r *Runner) generation(i, after int) GenerateRequest {
 	it := r.spec.Items[i]
-	return Generation{ID: it.ID, Host: r.spec.Host, Path: it.Path, Header: it.Header, Body: it.Body, After: after,
+	return GenerateRequest{ID: it.ID, Host: r.spec.Host, Path: it.Path, Header: it.Header, Body: it.Body, After: after,
 		Customer: r.spec.Customer, Priority: r.cfg.Priority(r.spec.Customer)}
 }
 
 // startScoring starts calls of scorers for texts that are whole.
 func (r *Runner) startScoring(ctx context.Context, now time.Time) {
 	for _, i := range r.run.Unscored(now) {
-		if r.scoring >= r.cfg.ScoreRoom(*r.spec.Items[i].Scorer) {
+		if r.scoring >= r.cfg.ScorerLimit(*r.spec.Items[i].Scorer) {
 			break // more would only wait at the scorers, on connections of their own
 		}
 		r.scoring++
 		r.run.Started(i, now)
 		r.group.Go(func() error {
 			s := r.cfg.Score(ctx, *r.spec.Items[i].Scorer)
-			r.cfg.Observe(Step{What: "scored", Submission: r.spec.ID, Item: r.spec.Items[i].ID, Status: s.Status})
+			r.cfg.OnEvent(RunEvent{What: "scored", Submission: r.spec.ID, Item: r.spec.Items[i].ID, Status: s.Status})
 			r.tell(ctx, func(now time.Time) {
 				r.scoring--
-				r.run.Scored(i, s, now)
+				r.run.ScoringEnded(i, s, now)
 			})
 			return nil
 		})
--- a/pkg/submission/submission.go
+++ b/pkg/submission/submission.go
@@ -58,9 +58,9 @@
 	Body []byte `json:"body,omitempty"`
 }
 
-// Work returns the estimated length of all texts of s, counting one for texts
+// EstimatedLength returns the estimated length of all texts of s, counting one for texts
 // without an estimate.
-func (s Spec) Work() int {
+func (s Spec) EstimatedLength() int {
 	n := 0
 	for _, it := range s.Items {
 		n += max(it.Length, 1)
@@ -90,23 +90,23 @@
 // change of owner, and the submission's end, raises it, and results are only
 // written by who knows it.
 type Head struct {
-	ID         string    `json:"id"`
-	Host       string    `json:"host"`
-	Path       string    `json:"path"`
-	Model      string    `json:"model,omitempty"`
-	Customer   string    `json:"customer,omitempty"` // whom it belongs to; empty for nobody
-	MinVersion uint64    `json:"min_version"`
-	Step       int       `json:"step"`
-	Total      int       `json:"total"` // items
-	Work       int       `json:"work"`  // estimated length of all texts
-	AcceptedAt time.Time `json:"accepted_at"`
-	Owner      string    `json:"owner"`   // instance that is to run it; empty if it gave it up
-	Claimed    bool      `json:"claimed"` // the owner runs it
-	// Progress is the fencing token under which the last owner kept its
+	ID              string    `json:"id"`
+	Host            string    `json:"host"`
+	Path            string    `json:"path"`
+	Model           string    `json:"model,omitempty"`
+	Customer        string    `json:"customer,omitempty"` // whom it belongs to; empty for nobody
+	MinVersion      uint64    `json:"min_version"`
+	Step            int       `json:"step"`
+	Total           int       `json:"total"` // items
+	EstimatedLength int       `json:"work"`  // estimated length of all texts
+	AcceptedAt      time.Time `json:"accepted_at"`
+	Owner           string    `json:"owner"`   // instance that is to run it; empty if it gave it up
+	Claimed         bool      `json:"claimed"` // the owner runs it
+	// ProgressToken is the fencing token under which the last owner kept its
 	// progress, where it gave the submission up.
-	Progress uint64 `json:"progress,omitempty"`
-	Ended    bool   `json:"ended"`    // by its sender; what runs is cancelled
-	Complete bool   `json:"complete"` // every result is written
+	ProgressToken uint64 `json:"progress,omitempty"`
+	Ended         bool   `json:"ended"`    // by its sender; what runs is cancelled
+	Complete      bool   `json:"complete"` // every result is written
 }
 
 // BelongsTo reports whether a customer may read and end the submission. One that
@@ -118,14 +118,14 @@
 
 // Errors of submissions.
 var (
-	ErrUnknown = errors.New("submission: no such submission")
-	ErrNotSure = errors.New("submission: the store cannot be asked")
-	ErrNoItem  = errors.New("submission: no such item")
+	ErrNotFound         = errors.New("submission: no such submission")
+	ErrStoreUnavailable = errors.New("submission: the store cannot be asked")
+	ErrItemNotFound     = errors.New("submission: no such item")
 )
 
-// ErrOtherVersion is a forward.ErrNotRun: the engine's weights have another
+// ErrVersionMismatch is a forward.ErrNotRun: the engine's weights have another
 // version than the request asked for.
-var ErrOtherVersion = fmt.Errorf("%w: the engine has another weight version", forward.ErrNotRun)
+var ErrVersionMismatch = fmt.Errorf("%w: the engine has another weight version", forward.ErrNotRun)
 
 // Tables of submissions in the platform's store.
 const (
@@ -159,8 +159,8 @@
 
 func headKey(id string) string { return HeadsTable + "/" + partition(id) + "/" + id }
 
-// IDOf returns the ID of the submission whose head has the given key.
-func IDOf(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
+// IDFromKey returns the ID of the submission whose head has the given key.
+func IDFromKey(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
 func resultsPrefix(id string) string { return ResultsTable + "/" + partition(id) + "/" + id + "/" }
 
@@ -195,8 +195,8 @@
 	Close()
 }
 
-// Generation asks an engine for the text of an item.
-type Generation struct {
+// GenerateRequest asks an engine for the text of an item.
+type GenerateRequest struct {
 	ID     string
 	Host   string
 	Path   string
@@ -211,7 +211,7 @@
 
 // content returns what identifies g, which asks for a text of a model, however often
 // it is asked for.
-func (g Generation) content(model string) quarantine.Content {
+func (g GenerateRequest) content(model string) quarantine.Content {
 	return quarantine.Content{Method: http.MethodPost, Host: g.Host, URI: g.Path, Model: model, Body: g.Body}
 }
 
@@ -228,5 +228,5 @@
 // Generator asks engines for texts. Its errors are those of forward.Transport,
 // or a *StatusError.
 type Generator interface {
-	Generate(ctx context.Context, to upstream.Entry, g Generation) (Stream, *upstream.Load, error)
+	Generate(ctx context.Context, to upstream.Entry, g GenerateRequest) (Stream, *upstream.Load, error)
 }
--- a/pkg/submission/sweep.go
+++ b/pkg/submission/sweep.go
@@ -12,10 +12,10 @@
 // one.
 const sweepRows = 48
 
-// Sweep deletes a submission that nobody reads any more: its results and their
+// DeleteSubmission deletes a submission that nobody reads any more: its results and their
 // objects, what was handed over, and last its head, so that a sweep that is
 // interrupted is taken up again. It returns ErrLost if the head has changed.
-func (l Log) Sweep(ctx context.Context, o Owned) error {
+func (l Repository) DeleteSubmission(ctx context.Context, o HeadRow) error {
 	for {
 		page, err := l.Store.ScanFrom(ctx, resultsPrefix(o.ID), "", sweepRows)
 		if err != nil {
@@ -35,7 +35,7 @@
 			return err
 		}
 	}
-	for _, name := range []string{specName(o.ID, o.Customer), progressName(o.ID, o.Head.Progress)} {
+	for _, name := range []string{specName(o.ID, o.Customer), progressName(o.ID, o.Head.ProgressToken)} {
 		if err := l.Store.DeleteObject(ctx, name); err != nil {
 			return err
 		}
@@ -43,17 +43,17 @@
 	return l.commitSweep(ctx, []platform.Op{platform.Delete(headKey(o.ID), o.Fencing)})
 }
 
-func (l Log) commitSweep(ctx context.Context, ops []platform.Op) error {
+func (l Repository) commitSweep(ctx context.Context, ops []platform.Op) error {
 	_, err := l.Store.Commit(ctx, ops...)
 	var ce *platform.ConflictError
 	if errors.As(err, &ce) {
-		return ErrLost
+		return ErrNotOwner
 	}
 	return err
 }
 
 // deleteObjectOf deletes the object that holds a long result.
-func (l Log) deleteObjectOf(ctx context.Context, row platform.Row) error {
+func (l Repository) deleteObjectOf(ctx context.Context, row platform.Row) error {
 	s, err := decodeStored(row)
 	if err != nil || s.Object == "" {
 		return nil // a row that cannot be read names no object, and goes
@@ -61,8 +61,8 @@
 	return l.Store.DeleteObject(ctx, s.Object)
 }
 
-// DropProgress deletes the texts of a submission that were kept under a fencing
+// DeleteProgress deletes the texts of a submission that were kept under a fencing
 // token and that nobody needs any more.
-func (l Log) DropProgress(ctx context.Context, id string, fencing uint64) error {
+func (l Repository) DeleteProgress(ctx context.Context, id string, fencing uint64) error {
 	return l.Store.DeleteObject(ctx, progressName(id, fencing))
 }
--- a/pkg/submission/tables.go
+++ b/pkg/submission/tables.go
@@ -21,17 +21,17 @@
 	return out
 }
 
-// ObjectsOf returns the names of the objects that may belong to a row of a head
+// ObjectNames returns the names of the objects that may belong to a row of a head
 // or a result; not each of them need exist.
-func ObjectsOf(row platform.Row) []string {
+func ObjectNames(row platform.Row) []string {
 	if strings.HasPrefix(row.Key, HeadsTable+"/") {
 		h, err := DecodeHead(row)
 		if err != nil {
 			return nil // it names none
 		}
 		out := []string{specName(h.ID, h.Customer), progressName(h.ID, row.Version)}
-		if h.Progress != 0 {
-			out = append(out, progressName(h.ID, h.Progress))
+		if h.ProgressToken != 0 {
+			out = append(out, progressName(h.ID, h.ProgressToken))
 		}
 		return out
 	}
--- a/pkg/trainer/trainer.go
+++ b/pkg/trainer/trainer.go
@@ -31,9 +31,9 @@
 	Text           string   `json:"text"`
 }
 
-// Oldest returns the oldest weight version that produced s, or 0 if s names
+// OldestVersion returns the oldest weight version that produced s, or 0 if s names
 // none.
-func (s Sample) Oldest() uint64 {
+func (s Sample) OldestVersion() uint64 {
 	if len(s.WeightVersions) == 0 {
 		return 0
 	}
--- a/pkg/trainer/trainertest/server.go
+++ b/pkg/trainer/trainertest/server.go
@@ -14,8 +14,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/trainer"
 )
 
-// Received is what the stand-in holds of one sample ID.
-type Received struct {
+// ReceivedSample is what the stand-in holds of one sample ID.
+type ReceivedSample struct {
 	Sample     trainer.Sample `json:"sample"`
 	Deliveries int            `json:"deliveries"`
 	At         time.Time      `json:"at"` // of the first delivery
@@ -26,7 +26,7 @@
 // Server is the stand-in. Its zero value is ready to use.
 type Server struct {
 	mu       sync.Mutex
-	received map[string]*Received
+	received map[string]*ReceivedSample
 	dropAcks int
 	newest   uint64
 	delay    time.Duration
@@ -50,8 +50,8 @@
 	s.mu.Unlock()
 }
 
-// Named tells the stand-in that it has named version v.
-func (s *Server) Named(v uint64) {
+// SetTargetVersion tells the stand-in that it has named version v.
+func (s *Server) SetTargetVersion(v uint64) {
 	s.mu.Lock()
 	s.newest = max(s.newest, v)
 	s.mu.Unlock()
@@ -66,10 +66,10 @@
 }
 
 // Received returns every sample held, by ID.
-func (s *Server) Received() []Received {
+func (s *Server) Received() []ReceivedSample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]Received, 0, len(s.received))
+	out := make([]ReceivedSample, 0, len(s.received))
 	for _, r := range s.received {
 		out = append(out, *r)
 	}
@@ -98,11 +98,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.received == nil {
-		s.received = map[string]*Received{}
+		s.received = map[string]*ReceivedSample{}
 	}
 	ack := trainer.Ack{New: []string{}, Duplicate: []string{}}
 	stale := slices.ContainsFunc(g.Samples, func(smp trainer.Sample) bool {
-		return s.received[smp.ID] == nil && smp.Oldest()+g.MaxVersionLag < s.newest
+		return s.received[smp.ID] == nil && smp.OldestVersion()+g.MaxVersionLag < s.newest
 	})
 	for _, smp := range g.Samples {
 		rec := s.received[smp.ID]
@@ -114,7 +114,7 @@
 		case stale:
 			ack.Stale = append(ack.Stale, smp.ID)
 		default:
-			s.received[smp.ID] = &Received{Sample: smp, Deliveries: 1, At: time.Now()}
+			s.received[smp.ID] = &ReceivedSample{Sample: smp, Deliveries: 1, At: time.Now()}
 			ack.New = append(ack.New, smp.ID)
 		}
 	}
--- a/pkg/trainer/trainertest/server_test.go
+++ b/pkg/trainer/trainertest/server_test.go
@@ -27,7 +27,7 @@
 		}
 		return ack
 	}
-	s.Named(3)
+	s.SetTargetVersion(3)
 	if ack := deliver(3, 1); len(ack.Stale) != 2 || len(s.Received()) != 0 {
 		t.Fatalf("group with one old sample: %+v, %d learned; want none", ack, len(s.Received()))
 	}
--- a/pkg/upstream/bench_test.go
+++ b/pkg/upstream/bench_test.go
@@ -18,11 +18,11 @@
 	}
 	r.Set(es)
 	for range es {
-		t, ok := r.Acquire(upstream.Want{Pool: "p", Model: "m", At: start()})
+		t, ok := r.Acquire(upstream.Requirements{Pool: "p", Model: "m", Now: start()})
 		if !ok {
 			b.Fatal("no room")
 		}
-		defer t.Done(upstream.Report{At: start(), Pace: time.Millisecond})
+		defer t.Done(upstream.AttemptResult{At: start(), TimePerUnit: time.Millisecond})
 	}
 	return r
 }
@@ -32,11 +32,11 @@
 	r := large(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		t, ok := r.Acquire(upstream.Want{Pool: "p", Model: "m", MinVersion: 3, Affinity: "prompt", At: start()})
+		t, ok := r.Acquire(upstream.Requirements{Pool: "p", Model: "m", MinVersion: 3, Affinity: "prompt", Now: start()})
 		if !ok {
 			b.Fatal("no room")
 		}
-		t.Done(upstream.Report{At: start(), Pace: time.Millisecond})
+		t.Done(upstream.AttemptResult{At: start(), TimePerUnit: time.Millisecond})
 	}
 }
 
--- a/pkg/upstream/changes_test.go
+++ b/pkg/upstream/changes_test.go
@@ -48,19 +48,19 @@
 		change[n] = allocated(func(i int) {
 			e := es[i]
 			e.Draining = i%2 == 0
-			r.Apply(upstream.Changes{Put: []*upstream.Entry{&e}})
+			r.Apply(upstream.Changes{Updated: []*upstream.Entry{&e}})
 		})
 		part := make([]string, 40)
 		for i := range part {
 			part[i] = es[i*7].ID
 		}
-		r.SetParts(map[string][]string{"m": part})
+		r.SetAssignments(map[string][]string{"m": part})
 		request[n] = allocated(func(int) {
-			ticket, ok := r.Acquire(upstream.Want{Pool: "p", Model: "m", MinVersion: 3, At: start()})
+			ticket, ok := r.Acquire(upstream.Requirements{Pool: "p", Model: "m", MinVersion: 3, Now: start()})
 			if !ok {
 				t.Fatal("no room")
 			}
-			ticket.Done(upstream.Report{At: start(), Pace: time.Millisecond})
+			ticket.Done(upstream.AttemptResult{At: start(), TimePerUnit: time.Millisecond})
 		})
 	}
 	t.Logf("bytes allocated: a change %v, a request %v", change, request)
@@ -83,13 +83,13 @@
 				e := upstream.Entry{ID: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"), Pool: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "pool"),
 					Address: "10.0.0.1:1", Slots: rapid.IntRange(1, 2).Draw(t, "slots"), Draining: rapid.Bool().Draw(t, "draining"), Born: rapid.Int64Range(1, 2).Draw(t, "born")}
 				if rapid.Bool().Draw(t, "gone") {
-					c.Gone = append(c.Gone, e.ID)
-					c.Put = slices.DeleteFunc(c.Put, func(p *upstream.Entry) bool { return p.ID == e.ID })
+					c.Removed = append(c.Removed, e.ID)
+					c.Updated = slices.DeleteFunc(c.Updated, func(p *upstream.Entry) bool { return p.ID == e.ID })
 					delete(there, e.ID)
 					continue
 				}
-				c.Gone = slices.DeleteFunc(c.Gone, func(id string) bool { return id == e.ID })
-				c.Put = append(c.Put, &e)
+				c.Removed = slices.DeleteFunc(c.Removed, func(id string) bool { return id == e.ID })
+				c.Updated = append(c.Updated, &e)
 				there[e.ID] = e
 			}
 			changed.Apply(c)
@@ -102,8 +102,8 @@
 				if a, b := fmt.Sprint(changed.Entries(pool)), fmt.Sprint(set.Entries(pool)); a != b {
 					t.Fatalf("by changes %s, by all entries %s", a, b)
 				}
-				ids, slots := changed.Staying(pool)
-				if want, n := set.Staying(pool); !slices.Equal(ids, want) || slots != n {
+				ids, slots := changed.NonDraining(pool)
+				if want, n := set.NonDraining(pool); !slices.Equal(ids, want) || slots != n {
 					t.Fatalf("staying by changes %v with %d slots, by all entries %v with %d", ids, slots, want, n)
 				}
 			}
--- a/pkg/upstream/choose.go
+++ b/pkg/upstream/choose.go
@@ -16,11 +16,11 @@
 	affinitySlack = 0.4
 )
 
-// Want says what a request needs of an upstream.
-type Want struct {
-	Pool   string
-	At     time.Time
-	Except []string // upstreams that are not to be chosen
+// Requirements says what a request needs of an upstream.
+type Requirements struct {
+	Pool    string
+	Now     time.Time
+	Exclude []string // upstreams that are not to be chosen
 
 	// Model and MinVersion bound the weight version; an empty Model does not.
 	Model      string
@@ -32,9 +32,9 @@
 
 	// Affinity names what requests share, such as a prompt; empty for none.
 	Affinity string
-	// Bounded means that the request waits rather than be sent to an upstream
+	// NeedFreeSlot means that the request waits rather than be sent to an upstream
 	// at which all slots are taken by this process's own requests.
-	Bounded bool
+	NeedFreeSlot bool
 }
 
 // Candidate is an upstream that may take a request.
@@ -44,7 +44,7 @@
 	InFlight int // this process's own
 	Slots    int
 	Slowness float64 // times the usual time that it takes, at least 1
-	Near     bool    // in this instance's data centre
+	Local    bool    // in this instance's data centre
 }
 
 // Choose returns the index of the candidate for a request, or -1 if none may
@@ -53,15 +53,15 @@
 // equal the one that the affinity ranks first. It answers the load of a batch
 // whose items all start at once, which spreads evenly over the upstreams, and
 // of upstreams that have turned slow, which get what finds no slot elsewhere.
-func Choose(cands []Candidate, w Want) int {
+func Choose(cands []Candidate, w Requirements) int {
 	scored := make([]route.Candidate, 0, len(cands))
 	index := make([]int, 0, len(cands))
 	for i, c := range cands {
-		if w.Bounded && float64(c.InFlight) >= float64(c.Slots)/max(c.Slowness, 1) {
+		if w.NeedFreeSlot && float64(c.InFlight) >= float64(c.Slots)/max(c.Slowness, 1) {
 			continue // a slow one is given what it serves in the usual time
 		}
 		load := cost(c)
-		if !c.Near {
+		if !c.Local {
 			load += farPenalty
 		}
 		scored = append(scored, route.Candidate{Key: c.ID, Load: load})
--- a/pkg/upstream/entry.go
+++ b/pkg/upstream/entry.go
@@ -23,25 +23,25 @@
 	Versions map[string]uint64
 }
 
-// SameStart reports whether e and o are of the same start of an upstream: what
+// SameProcess reports whether e and o are of the same start of an upstream: what
 // is known of one holds for the other.
-func (e Entry) SameStart(o Entry) bool {
+func (e Entry) SameProcess(o Entry) bool {
 	return e.ID == o.ID && e.Born == o.Born && e.Address == o.Address && e.Pool == o.Pool
 }
 
 // Equal reports whether e and o tell the same.
 func (e Entry) Equal(o Entry) bool {
-	return e.SameStart(o) && e.DataCentre == o.DataCentre && e.Slots == o.Slots && e.Draining == o.Draining && e.Spot == o.Spot && maps.Equal(e.Versions, o.Versions)
+	return e.SameProcess(o) && e.DataCentre == o.DataCentre && e.Slots == o.Slots && e.Draining == o.Draining && e.Spot == o.Spot && maps.Equal(e.Versions, o.Versions)
 }
 
 // Load is what an upstream told of its load with an answer.
 type Load struct {
-	Running, Waiting int
-	Slots            int
+	Running, Queued int
+	Slots           int
 }
 
-// Report tells a Registry how an attempt at an upstream went.
-type Report struct {
+// AttemptResult tells a Registry how an attempt at an upstream went.
+type AttemptResult struct {
 	At   time.Time
 	Load *Load // nil if the upstream told none
 
@@ -49,17 +49,17 @@
 	Failed bool
 	// Unreachable means that it took no connection.
 	Unreachable bool
-	// Gone means that another upstream has its address now.
-	Gone bool
+	// AddressReused means that another upstream has its address now.
+	AddressReused bool
 	// Busy means that it had no room, and is left alone until BusyUntil.
 	Busy      bool
 	BusyUntil time.Time
 
-	// OtherVersion means that it turned the request away for its weight version.
-	OtherVersion bool
+	// VersionRefused means that it turned the request away for its weight version.
+	VersionRefused bool
 
-	// Pace is the time that it took for a unit of work, 0 if not measured.
-	Pace time.Duration
+	// TimePerUnit is the time that it took for a unit of work, 0 if not measured.
+	TimePerUnit time.Duration
 	// Versions are weight versions that its answer showed, by model.
 	Versions map[string]uint64
 }
--- a/pkg/upstream/registry.go
+++ b/pkg/upstream/registry.go
@@ -34,7 +34,7 @@
 type Registry struct {
 	dataCentre string
 	health     *health.Tracker
-	paces      *health.Paces
+	paces      *health.TokenTimes
 
 	mu    sync.Mutex
 	byID  map[string]*known
@@ -63,8 +63,8 @@
 
 // Changes are what became of upstreams' entries.
 type Changes struct {
-	Put  []*Entry // new, or changed; not changed any more
-	Gone []string // IDs
+	Updated []*Entry // new, or changed; not changed any more
+	Removed []string // IDs
 	// Reset means that Put holds all entries.
 	Reset bool
 }
@@ -112,15 +112,15 @@
 // NewRegistry returns an empty Registry of an instance in dataCentre.
 func NewRegistry(dataCentre string) *Registry {
 	return &Registry{dataCentre: dataCentre, byID: map[string]*known{}, pools: map[string]*pool{},
-		health: health.NewTracker(health.Config{Failures: 2, EjectFor: firstEjection, MaxEjectFor: maxEjection}),
-		paces:  health.NewPaces(0)}
+		health: health.NewTracker(health.Config{FailureThreshold: 2, EjectionTime: firstEjection, MaxEjectionTime: maxEjection}),
+		paces:  health.NewTokenTimes(0)}
 }
 
 // Set replaces the upstreams by entries.
 func (r *Registry) Set(entries []Entry) {
 	c := Changes{Reset: true}
 	for _, e := range entries {
-		c.Put = append(c.Put, &e)
+		c.Updated = append(c.Updated, &e)
 	}
 	r.Apply(c)
 }
@@ -132,12 +132,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.Reset {
-		r.keepOnly(c.Put)
+		r.keepOnly(c.Updated)
 	}
-	for _, id := range c.Gone {
+	for _, id := range c.Removed {
 		r.remove(id)
 	}
-	for _, e := range c.Put {
+	for _, e := range c.Updated {
 		r.put(e)
 	}
 }
@@ -157,7 +157,7 @@
 
 func (r *Registry) put(e *Entry) {
 	k := r.byID[e.ID]
-	if k != nil && k.SameStart(*e) {
+	if k != nil && k.SameProcess(*e) {
 		if k.Draining != e.Draining || k.Slots != e.Slots {
 			r.pools[e.Pool].staying = nil
 		}
@@ -165,7 +165,7 @@
 		return
 	}
 	r.remove(e.ID)
-	r.health.Succeeded(e.ID)
+	r.health.RecordSuccess(e.ID)
 	k = &known{Entry: e}
 	r.byID[e.ID] = k
 	p := r.pools[e.Pool]
@@ -217,10 +217,10 @@
 	}
 }
 
-// SetParts tells which upstreams each model is dealt, by ID. Requests for a model
+// SetAssignments tells which upstreams each model is dealt, by ID. Requests for a model
 // go to its own as long as one of them may take requests at all, so that the
 // instances that run a model's requests keep connections to few upstreams.
-func (r *Registry) SetParts(parts map[string][]string) {
+func (r *Registry) SetAssignments(parts map[string][]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.parts = make(map[string]*part, len(parts))
@@ -270,9 +270,9 @@
 	return k.entry(), true
 }
 
-// Staying returns the IDs of a pool's upstreams that do not leave, in order, and
+// NonDraining returns the IDs of a pool's upstreams that do not leave, in order, and
 // how many requests they serve at once together. The IDs are not to be changed.
-func (r *Registry) Staying(pool string) (ids []string, slots int) {
+func (r *Registry) NonDraining(pool string) (ids []string, slots int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pools[pool]
@@ -323,8 +323,8 @@
 	return k.Versions
 }
 
-// Ticket is one request's place at an upstream. Its holder calls Done once.
-type Ticket struct {
+// Reservation is one request's place at an upstream. Its holder calls Done once.
+type Reservation struct {
 	Entry
 	registry *Registry
 	known    *known
@@ -332,7 +332,7 @@
 
 // Acquire chooses an upstream for a request and counts it there. It reports
 // false if no upstream may take it now.
-func (r *Registry) Acquire(w Want) (*Ticket, bool) {
+func (r *Registry) Acquire(w Requirements) (*Reservation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ks := r.usablePart(w)
@@ -345,15 +345,15 @@
 	u.inFlight++
 	u.asking = u.doubted
 	if w.Outdated {
-		u.askedAt = w.At
+		u.askedAt = w.Now
 	}
-	r.health.Trying(k.ID, w.At)
-	return &Ticket{Entry: k.entry(), registry: r, known: k}, true
+	r.health.RecordAttempt(k.ID, w.Now)
+	return &Reservation{Entry: k.entry(), registry: r, known: k}, true
 }
 
 // usablePart returns the upstreams that may take a request: of those that its
 // model is dealt if there are any.
-func (r *Registry) usablePart(w Want) []*known {
+func (r *Registry) usablePart(w Requirements) []*known {
 	dealt := r.parts[w.Model] != nil && len(r.parts[w.Model].ids) > 0
 	if !dealt {
 		return r.usableOf(w, r.members(w.Pool))
@@ -366,7 +366,7 @@
 }
 
 // usableOf returns those of ks that may take a request.
-func (r *Registry) usableOf(w Want, ks []*known) []*known {
+func (r *Registry) usableOf(w Requirements, ks []*known) []*known {
 	out := make([]*known, 0, len(ks))
 	for _, k := range ks {
 		if r.usable(k, w) {
@@ -377,12 +377,12 @@
 }
 
 // candidates returns what Choose is to know of ks, which are of w's pool.
-func (r *Registry) candidates(ks []*known, w Want) []Candidate {
-	slowness := r.slowness(w.Pool, w.At)
+func (r *Registry) candidates(ks []*known, w Requirements) []Candidate {
+	slowness := r.slowness(w.Pool, w.Now)
 	out := make([]Candidate, 0, len(ks))
 	for _, k := range ks {
-		out = append(out, Candidate{ID: k.ID, Load: k.load(w.At), InFlight: k.seen().inFlight, Slots: max(k.Slots, 1),
-			Slowness: max(slowness[k.ID], 1), Near: k.DataCentre == r.dataCentre})
+		out = append(out, Candidate{ID: k.ID, Load: k.load(w.Now), InFlight: k.seen().inFlight, Slots: max(k.Slots, 1),
+			Slowness: max(slowness[k.ID], 1), Local: k.DataCentre == r.dataCentre})
 	}
 	return out
 }
@@ -408,16 +408,16 @@
 	return out
 }
 
-func (r *Registry) usable(k *known, w Want) bool {
+func (r *Registry) usable(k *known, w Requirements) bool {
 	u := k.seen()
 	switch {
-	case k.Draining, u.gone, u.asking, w.At.Before(u.busyUntil), slices.Contains(w.Except, k.ID), !r.health.Usable(k.ID, w.At):
+	case k.Draining, u.gone, u.asking, w.Now.Before(u.busyUntil), slices.Contains(w.Exclude, k.ID), !r.health.Usable(k.ID, w.Now):
 		return false
 	case w.Model == "":
 		return true
 	case w.Outdated:
 		v := k.version(w.Model)
-		return v < w.MinVersion && v+askWithin >= w.MinVersion && w.At.Sub(u.askedAt) >= askAgainAfter
+		return v < w.MinVersion && v+askWithin >= w.MinVersion && w.Now.Sub(u.askedAt) >= askAgainAfter
 	}
 	return k.version(w.Model) >= w.MinVersion
 }
@@ -432,7 +432,7 @@
 }
 
 // Done ends the ticket's request and tells how it went.
-func (t *Ticket) Done(rep Report) {
+func (t *Reservation) Done(rep AttemptResult) {
 	r := t.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -441,7 +441,7 @@
 }
 
 // Release ends a ticket whose request was not sent.
-func (t *Ticket) Release() {
+func (t *Reservation) Release() {
 	r := t.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -450,13 +450,13 @@
 	u.asking = false
 }
 
-// Better reports whether the ticket's upstream has been from times slower than
+// FasterAvailable reports whether the ticket's upstream has been from times slower than
 // usual, while another that may take its request, w, is not and has a free slot.
-func (t *Ticket) Better(w Want, from float64) bool {
+func (t *Reservation) FasterAvailable(w Requirements, from float64) bool {
 	r := t.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.slowness(t.Pool, w.At)[t.ID] < from {
+	if r.slowness(t.Pool, w.Now)[t.ID] < from {
 		return false
 	}
 	return slices.ContainsFunc(r.candidates(r.usablePart(w), w), func(c Candidate) bool {
@@ -465,41 +465,41 @@
 }
 
 // Observe tells what was seen while the ticket's request still runs.
-func (t *Ticket) Observe(rep Report) {
+func (t *Reservation) Observe(rep AttemptResult) {
 	t.registry.mu.Lock()
 	defer t.registry.mu.Unlock()
 	t.registry.learn(t.known, rep)
 }
 
-func (r *Registry) learn(k *known, rep Report) {
+func (r *Registry) learn(k *known, rep AttemptResult) {
 	u := k.used()
 	if rep.Load != nil {
-		u.others = max(0, rep.Load.Running+rep.Load.Waiting-u.inFlight)
+		u.others = max(0, rep.Load.Running+rep.Load.Queued-u.inFlight)
 		u.othersAt = rep.At
 	}
 	u.asking = false
 	if rep.Busy {
 		u.busyUntil, u.doubted = rep.BusyUntil, true
-	} else if !rep.OtherVersion {
+	} else if !rep.VersionRefused {
 		u.doubted = false
 	}
-	u.gone = u.gone || rep.Gone
+	u.gone = u.gone || rep.AddressReused
 	for m, v := range rep.Versions {
 		if u.confirmed == nil {
 			u.confirmed = map[string]uint64{}
 		}
 		u.confirmed[m] = max(u.confirmed[m], v)
 	}
-	if rep.Pace > 0 {
-		r.paces.Observe(k.ID, rep.Pace, rep.At)
+	if rep.TimePerUnit > 0 {
+		r.paces.Observe(k.ID, rep.TimePerUnit, rep.At)
 		if p := r.pools[k.Pool]; p != nil && r.byID[k.ID] == k {
 			p.paced[k.ID] = true
 		}
 	}
 	switch {
 	case rep.Failed || rep.Unreachable:
-		r.health.Failed(k.ID, rep.At, rep.Unreachable)
-	case !rep.Busy && !rep.Gone && !rep.OtherVersion:
-		r.health.Succeeded(k.ID)
+		r.health.RecordFailure(k.ID, rep.At, rep.Unreachable)
+	case !rep.Busy && !rep.AddressReused && !rep.VersionRefused:
+		r.health.RecordSuccess(k.ID)
 	}
 }
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -26,7 +26,7 @@
 	r.Set(entries(9))
 	count := map[string]int{}
 	for i := range 100 {
-		tk, ok := r.Acquire(upstream.Want{Pool: "p", At: start(), Bounded: true, Affinity: fmt.Sprintf("prompt-%d", i/4)})
+		tk, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: start(), NeedFreeSlot: true, Affinity: fmt.Sprintf("prompt-%d", i/4)})
 		if !ok {
 			break
 		}
@@ -57,7 +57,7 @@
 		if i%8 == 0 {
 			affinity = fmt.Sprint(i) // now and then another is tried
 		}
-		tk, ok := r.Acquire(upstream.Want{Pool: "p", At: now, Affinity: affinity})
+		tk, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: now, Affinity: affinity})
 		if !ok {
 			t.Fatal("no upstream")
 		}
@@ -71,14 +71,14 @@
 				slow++
 			}
 		}
-		tk.Done(upstream.Report{At: now, Pace: pace})
+		tk.Done(upstream.AttemptResult{At: now, TimePerUnit: pace})
 	}
 	if slow > 30 {
 		t.Errorf("%d of 810 requests went to the slow one", slow)
 	}
 	n := 0
 	for range 72 {
-		if tk, ok := r.Acquire(upstream.Want{Pool: "p", At: now, Bounded: true}); ok && tk.ID == slowID {
+		if tk, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: now, NeedFreeSlot: true}); ok && tk.ID == slowID {
 			n++
 		}
 	}
@@ -92,20 +92,20 @@
 	r := upstream.NewRegistry("z")
 	r.Set(entries(3))
 	now := start()
-	var slow *upstream.Ticket
+	var slow *upstream.Reservation
 	for range 24 {
-		tk, _ := r.Acquire(upstream.Want{Pool: "p", At: now})
+		tk, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: now})
 		pace := time.Millisecond
 		if tk.ID == "i0" {
 			slow, pace = tk, 4*time.Millisecond
 		}
-		tk.Observe(upstream.Report{At: now, Pace: pace})
+		tk.Observe(upstream.AttemptResult{At: now, TimePerUnit: pace})
 	}
-	if slow.Better(upstream.Want{Pool: "p", At: now}, 2) {
+	if slow.FasterAvailable(upstream.Requirements{Pool: "p", Now: now}, 2) {
 		t.Fatal("better elsewhere, though all slots are taken")
 	}
 	r.Set(append(entries(3), upstream.Entry{ID: "i9", Pool: "p", Address: "10.0.0.9:1", DataCentre: "z", Slots: 8}))
-	if !slow.Better(upstream.Want{Pool: "p", At: now}, 2) {
+	if !slow.FasterAvailable(upstream.Requirements{Pool: "p", Now: now}, 2) {
 		t.Fatal("not better elsewhere, though an idle upstream is there")
 	}
 }
@@ -114,30 +114,30 @@
 // for a while; one that only had no room is left alone shortly.
 func TestFailuresEject(t *testing.T) {
 	for name, c := range map[string]struct {
-		rep  upstream.Report
+		rep  upstream.AttemptResult
 		n    int
 		away time.Duration
 	}{
-		"unreachable": {upstream.Report{Unreachable: true}, 1, 300 * time.Millisecond},
-		"failed once": {upstream.Report{Failed: true}, 1, 0},
-		"failed":      {upstream.Report{Failed: true}, 2, 300 * time.Millisecond},
-		"gone":        {upstream.Report{Gone: true}, 1, time.Hour},
-		"busy":        {upstream.Report{Busy: true, BusyUntil: start().Add(100 * time.Millisecond)}, 1, 90 * time.Millisecond},
+		"unreachable": {upstream.AttemptResult{Unreachable: true}, 1, 300 * time.Millisecond},
+		"failed once": {upstream.AttemptResult{Failed: true}, 1, 0},
+		"failed":      {upstream.AttemptResult{Failed: true}, 2, 300 * time.Millisecond},
+		"gone":        {upstream.AttemptResult{AddressReused: true}, 1, time.Hour},
+		"busy":        {upstream.AttemptResult{Busy: true, BusyUntil: start().Add(100 * time.Millisecond)}, 1, 90 * time.Millisecond},
 	} {
 		r := upstream.NewRegistry("z")
 		r.Set(entries(1))
 		for range c.n {
-			tk, ok := r.Acquire(upstream.Want{Pool: "p", At: start()})
+			tk, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: start()})
 			if !ok {
 				t.Fatalf("%s: ejected too soon", name)
 			}
 			c.rep.At = start()
 			tk.Done(c.rep)
 		}
-		if _, ok := r.Acquire(upstream.Want{Pool: "p", At: start().Add(c.away)}); ok != (c.away == 0) {
+		if _, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: start().Add(c.away)}); ok != (c.away == 0) {
 			t.Errorf("%s: usable %v after %v", name, ok, c.away)
 		}
-		if _, ok := r.Acquire(upstream.Want{Pool: "p", At: start().Add(3 * time.Second)}); !ok && name != "gone" {
+		if _, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: start().Add(3 * time.Second)}); !ok && name != "gone" {
 			t.Errorf("%s: not usable after 3 s", name)
 		}
 	}
@@ -149,8 +149,8 @@
 	r := upstream.NewRegistry("z")
 	es := entries(1)
 	r.Set(es)
-	tk, _ := r.Acquire(upstream.Want{Pool: "p", At: start()})
-	tk.Done(upstream.Report{At: start(), Versions: map[string]uint64{"m": 5}})
+	tk, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: start()})
+	tk.Done(upstream.AttemptResult{At: start(), Versions: map[string]uint64{"m": 5}})
 	r.Set(es)
 	if v := r.Entries("p")[0].Versions["m"]; v != 5 {
 		t.Fatalf("version %d, want 5 as its answers showed", v)
@@ -170,7 +170,7 @@
 	es[1].Versions = map[string]uint64{"m": 4}
 	es[2].Versions = map[string]uint64{"m": 5}
 	r.Set(es)
-	want := upstream.Want{Pool: "p", At: start(), Model: "m", MinVersion: 5}
+	want := upstream.Requirements{Pool: "p", Now: start(), Model: "m", MinVersion: 5}
 	for range 5 {
 		if tk, ok := r.Acquire(want); !ok || tk.ID != "i2" {
 			t.Fatal("not the one that is new enough")
@@ -192,13 +192,13 @@
 	es[0].DataCentre = "far"
 	r.Set(es)
 	for range 1 {
-		if tk, _ := r.Acquire(upstream.Want{Pool: "p", At: start()}); tk.ID != "i1" {
+		if tk, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: start()}); tk.ID != "i1" {
 			t.Fatal("the far one is chosen")
 		}
 	}
 	far := 0
 	for range 8 {
-		if tk, _ := r.Acquire(upstream.Want{Pool: "p", At: start()}); tk.ID == "i0" {
+		if tk, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: start()}); tk.ID == "i0" {
 			far++
 		}
 	}
--- a/pkg/usage/billing.go
+++ b/pkg/usage/billing.go
@@ -13,14 +13,14 @@
 	// is sent again, which doubles.
 	firstPause = 400 * time.Millisecond
 	maxPause   = 3 * time.Second
-	// KeptReports is how many reports stay in the store, for operators.
-	KeptReports = 60
+	// RetainedReports is how many reports stay in the store, for operators.
+	RetainedReports = 60
 )
 
-// Billing is what the holder of the duty knows of the windows to report. It does no
-// I/O. The zero Billing knows nothing yet.
-type Billing struct {
-	Calendar Calendar
+// Reporter is what the holder of the duty knows of the windows to report. It does no
+// I/O. The zero Reporter knows nothing yet.
+type Reporter struct {
+	Schedule Schedule
 
 	next   Window // the first that is not fixed
 	unsent []Report
@@ -29,31 +29,31 @@
 	sendAt time.Time // the next call, not before
 }
 
-// Begin takes up what holders before have left in the store. begunAt is when this
+// Restore takes up what holders before have left in the store. begunAt is when this
 // instance started, which counts where nothing was ever reported.
-func (b *Billing) Begin(left []Report, begunAt, now time.Time) {
+func (b *Reporter) Restore(left []Report, begunAt, now time.Time) {
 	b.unsent, b.sent = nil, nil
-	b.next = b.Calendar.At(begunAt)
+	b.next = b.Schedule.WindowAt(begunAt)
 	for _, r := range left {
 		b.next = r.Window + 1
-		if r.SentAt.IsZero() && now.Sub(b.Calendar.Ends(r.Window)) < maxBehind {
+		if r.SentAt.IsZero() && now.Sub(b.Schedule.End(r.Window)) < maxBehind {
 			b.unsent = append(b.unsent, r)
 		} else {
 			b.sent = append(b.sent, r)
 		}
 	}
-	b.next = max(b.next, b.Calendar.At(now.Add(-maxBehind)))
+	b.next = max(b.next, b.Schedule.WindowAt(now.Add(-maxBehind)))
 	b.pause, b.sendAt = 0, time.Time{}
 }
 
 // ToClose returns the window whose counts are to be added up and fixed at now, if
 // there is one.
-func (b *Billing) ToClose(reachedSince, now time.Time) (Window, bool) {
-	return b.next, !now.Before(b.Calendar.CloseAt(b.next, reachedSince))
+func (b *Reporter) ToClose(reachedSince, now time.Time) (Window, bool) {
+	return b.next, !now.Before(b.Schedule.CloseAt(b.next, reachedSince))
 }
 
-// Fixed takes the report of the next window as it is fixed.
-func (b *Billing) Fixed(r Report) {
+// Finalized takes the report of the next window as it is fixed.
+func (b *Reporter) Finalized(r Report) {
 	b.next = max(b.next, r.Window+1)
 	if r.SentAt.IsZero() {
 		b.unsent = append(b.unsent, r)
@@ -63,32 +63,32 @@
 }
 
 // ToSend returns the report to send at now, if there is one: the oldest.
-func (b *Billing) ToSend(now time.Time) (Report, bool) {
+func (b *Reporter) ToSend(now time.Time) (Report, bool) {
 	if len(b.unsent) == 0 || now.Before(b.sendAt) {
 		return Report{}, false
 	}
 	return b.unsent[0], true
 }
 
-// Sent tells how the call for a report ended at at. One that was not accepted is
+// SendEnded tells how the call for a report ended at at. One that was not accepted is
 // sent again after a pause, behind others.
-func (b *Billing) Sent(r Report, accepted bool, at time.Time) {
+func (b *Reporter) SendEnded(r Report, accepted bool, at time.Time) {
 	b.unsent = slices.DeleteFunc(b.unsent, func(u Report) bool { return u.Window == r.Window })
 	if accepted {
 		b.sent = append(b.sent, r)
 		b.pause, b.sendAt = 0, at
 		return
 	}
-	if at.Sub(b.Calendar.Ends(r.Window)) < maxBehind {
+	if at.Sub(b.Schedule.End(r.Window)) < maxBehind {
 		b.unsent = append(b.unsent, r)
 	}
 	b.pause = min(max(2*b.pause, firstPause), maxPause)
 	b.sendAt = at.Add(b.pause)
 }
 
-// ToSweep returns the reports that need not be kept any more, and forgets them.
-func (b *Billing) ToSweep() []Report {
-	n := len(b.sent) - KeptReports
+// ToDelete returns the reports that need not be kept any more, and forgets them.
+func (b *Reporter) ToDelete() []Report {
+	n := len(b.sent) - RetainedReports
 	if n <= 0 {
 		return nil
 	}
--- a/pkg/usage/ledger.go
+++ b/pkg/usage/ledger.go
@@ -32,11 +32,11 @@
 
 // Report is what is reported of a window. Its counts are never changed.
 type Report struct {
-	Window  Window    `json:"window"`
-	Counts  Counts    `json:"counts"`
-	FixedAt time.Time `json:"fixed_at"`
-	FixedBy string    `json:"fixed_by"` // instance
-	Tallies int       `json:"tallies"`  // instances that had told counts
+	Window      Window    `json:"window"`
+	Counts      Counts    `json:"counts"`
+	FinalizedAt time.Time `json:"fixed_at"`
+	FinalizedBy string    `json:"fixed_by"` // instance
+	Tallies     int       `json:"tallies"`  // instances that had told counts
 	// SentAt is when it was accepted; zero if that is not known.
 	SentAt time.Time `json:"sent_at,omitzero"`
 
@@ -53,10 +53,10 @@
 // scanRows is how many rows are read in one call.
 const scanRows = 500
 
-// Tell writes what an instance's start has counted in a window. It returns the
+// WriteTally writes what an instance's start has counted in a window. It returns the
 // version of the row and whether this holds the tally: after a conflict it may hold
 // an earlier state, which is written over next.
-func (l Ledger) Tell(ctx context.Context, start string, t Tally) (version uint64, holds bool, err error) {
+func (l Ledger) WriteTally(ctx context.Context, start string, t Tally) (version uint64, holds bool, err error) {
 	op, err := platform.Put(tallyPrefix(t.Window)+start, t.Version, t.Counts)
 	if err != nil {
 		return 0, false, err
@@ -111,9 +111,9 @@
 	}
 }
 
-// Fix fixes the report of a window, unless it is fixed already. It returns the one
+// Finalize fixes the report of a window, unless it is fixed already. It returns the one
 // that is.
-func (l Ledger) Fix(ctx context.Context, r Report) (Report, error) {
+func (l Ledger) Finalize(ctx context.Context, r Report) (Report, error) {
 	op, err := platform.Put(reportKey(r.Window), 0, r)
 	if err != nil {
 		return Report{}, err
@@ -130,8 +130,8 @@
 	return r, nil
 }
 
-// Sent writes down that a report was accepted at at.
-func (l Ledger) Sent(ctx context.Context, r Report, at time.Time) error {
+// MarkSent writes down that a report was accepted at at.
+func (l Ledger) MarkSent(ctx context.Context, r Report, at time.Time) error {
 	r.SentAt = at
 	op, err := platform.Put(reportKey(r.Window), r.Version, r)
 	if err != nil {
@@ -179,9 +179,9 @@
 // maxDeletes is how many rows one call deletes.
 const maxDeletes = 100
 
-// Sweep deletes the tallies of a window that has been reported. One that was written
+// DeleteTallies deletes the tallies of a window that has been reported. One that was written
 // again meanwhile stays, with those of its call: it tells of counts that came too late.
-func (l Ledger) Sweep(ctx context.Context, rows []platform.Row) error {
+func (l Ledger) DeleteTallies(ctx context.Context, rows []platform.Row) error {
 	for chunk := range slices.Chunk(rows, maxDeletes) {
 		ops := make([]platform.Op, len(chunk))
 		for i, row := range chunk {
@@ -195,11 +195,11 @@
 	return nil
 }
 
-// SweepReports deletes reports.
-func (l Ledger) SweepReports(ctx context.Context, reports []Report) error {
+// DeleteReports deletes reports.
+func (l Ledger) DeleteReports(ctx context.Context, reports []Report) error {
 	rows := make([]platform.Row, len(reports))
 	for i, r := range reports {
 		rows[i] = platform.Row{Key: reportKey(r.Window), Version: r.Version}
 	}
-	return l.Sweep(ctx, rows)
+	return l.DeleteTallies(ctx, rows)
 }
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -24,20 +24,20 @@
 	}
 }
 
-// Calendar divides time into windows and says when their reports are due.
-type Calendar struct {
-	Length time.Duration // of a window
-	Late   time.Duration // a report is due this long after its window's end
+// Schedule divides time into windows and says when their reports are due.
+type Schedule struct {
+	Length      time.Duration // of a window
+	ReportDelay time.Duration // a report is due this long after its window's end
 }
 
-// At returns the window that t is in.
-func (c Calendar) At(t time.Time) Window { return Window(t.UnixNano() / int64(c.Length)) }
+// WindowAt returns the window that t is in.
+func (c Schedule) WindowAt(t time.Time) Window { return Window(t.UnixNano() / int64(c.Length)) }
 
-// Ends returns when w ends.
-func (c Calendar) Ends(w Window) time.Time { return time.Unix(0, (int64(w)+1)*int64(c.Length)) }
+// End returns when w ends.
+func (c Schedule) End(w Window) time.Time { return time.Unix(0, (int64(w)+1)*int64(c.Length)) }
 
 // Due returns when the report of w is due.
-func (c Calendar) Due(w Window) time.Time { return c.Ends(w).Add(c.Late) }
+func (c Schedule) Due(w Window) time.Time { return c.End(w).Add(c.ReportDelay) }
 
 const (
 	// settleTime is how long after a window's end instances go on telling of it: a
@@ -50,9 +50,9 @@
 	// sendTime is what is left to send a report before it is due, or it would be
 	// late for sure.
 	sendTime = 2500 * time.Millisecond
-	// TellPeriod is how often an instance tells counts that have changed: what it
+	// TallyWritePeriod is how often an instance tells counts that have changed: what it
 	// has not told is lost when it is killed.
-	TellPeriod = time.Second
+	TallyWritePeriod = time.Second
 )
 
 // CloseAt returns when the counts of w are added up. reachedSince is since when the
@@ -62,8 +62,8 @@
 // after the end. Where the store was away over that time, instances tell them when
 // it returns, and are waited for while the report would still be in time. Where
 // some are killed, what they had not told is lost, and nothing is waited for.
-func (c Calendar) CloseAt(w Window, reachedSince time.Time) time.Time {
-	end := c.Ends(w)
+func (c Schedule) CloseAt(w Window, reachedSince time.Time) time.Time {
+	end := c.End(w)
 	settled := end.Add(settleTime)
 	last := c.Due(w).Add(-sendTime)
 	at := settled
@@ -78,7 +78,7 @@
 
 // Meter counts what begins at this instance. It is safe for concurrent use.
 type Meter struct {
-	calendar Calendar
+	calendar Schedule
 
 	mu      sync.Mutex
 	tallies map[Window]*tally
@@ -91,13 +91,13 @@
 }
 
 // NewMeter returns a Meter of windows in calendar.
-func NewMeter(calendar Calendar) *Meter {
+func NewMeter(calendar Schedule) *Meter {
 	return &Meter{calendar: calendar, tallies: map[Window]*tally{}}
 }
 
 // Count counts a request of customer that began at at.
 func (m *Meter) Count(customer string, at time.Time) {
-	w := m.calendar.At(at)
+	w := m.calendar.WindowAt(at)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t := m.tallies[w]
@@ -116,8 +116,8 @@
 	Version uint64 // of the row that tells an earlier state of it; 0 for none
 }
 
-// Untold returns the tallies that have changed since they were told.
-func (m *Meter) Untold() []Tally {
+// Unwritten returns the tallies that have changed since they were told.
+func (m *Meter) Unwritten() []Tally {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Tally
@@ -129,9 +129,9 @@
 	return out
 }
 
-// Told tells that the row of a tally has a version now, and whether it holds the
+// Written tells that the row of a tally has a version now, and whether it holds the
 // tally's counts.
-func (m *Meter) Told(told Tally, version uint64, holds bool) {
+func (m *Meter) Written(told Tally, version uint64, holds bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t := m.tallies[told.Window]
@@ -148,9 +148,9 @@
 // outages of the store.
 const keepFor = 2 * time.Minute
 
-// Forget drops the windows that ended long before now.
-func (m *Meter) Forget(now time.Time) {
+// Expire drops the windows that ended long before now.
+func (m *Meter) Expire(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	maps.DeleteFunc(m.tallies, func(w Window, _ *tally) bool { return now.Sub(m.calendar.Ends(w)) > keepFor })
+	maps.DeleteFunc(m.tallies, func(w Window, _ *tally) bool { return now.Sub(m.calendar.End(w)) > keepFor })
 }
--- a/pkg/watch/direct.go
+++ b/pkg/watch/direct.go
@@ -16,9 +16,9 @@
 	var running sync.WaitGroup
 	for _, t := range tables {
 		reader := feed.Follower{Store: f.cfg.Store, Table: t.Name, Prefixes: t.Prefixes, Wait: t.Wait, Pause: t.Pause, From: from[t.Name],
-			Tell: func(u feed.Update) { tell(ctx, u) }}
+			OnUpdate: func(u feed.Update) { tell(ctx, u) }}
 		running.Add(1)
-		f.cfg.Group(func() error {
+		f.cfg.Go(func() error {
 			defer running.Done()
 			return reader.Run(ctx)
 		})
--- a/pkg/watch/directory.go
+++ b/pkg/watch/directory.go
@@ -26,7 +26,7 @@
 
 // Relay is an instance that others follow tables through.
 type Relay struct {
-	Start      string `json:"start"` // identifies the start of the instance
+	StartID    string `json:"start"` // identifies the start of the instance
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
 
@@ -108,7 +108,7 @@
 	}
 	var all []placed
 	for _, r := range d.relays {
-		if r.Start == start {
+		if r.StartID == start {
 			continue
 		}
 		p := placed{r, draw()}
--- a/pkg/watch/follower.go
+++ b/pkg/watch/follower.go
@@ -54,20 +54,20 @@
 // joined is a watch at a relay, and the news that it began with.
 type joined struct {
 	Relay
-	session Session
+	session Stream
 	link    Link
-	first   peer.News
+	first   peer.WatchUpdate
 }
 
 // New returns a Follower.
 func New(cfg Config) *Follower {
-	if cfg.Observe == nil {
-		cfg.Observe = func(Event) {}
+	if cfg.OnEvent == nil {
+		cfg.OnEvent = func(Event) {}
 	}
 	f := &Follower{cfg: cfg, events: make(chan any, eventQueue), source: Source{Kind: None}, lostAt: time.Now(), from: map[string]uint64{},
 		tries: map[string]*try{}, stop: func() {}}
-	f.machine = NewMachine(MachineConfig{Start: cfg.Start, DataCentre: cfg.DataCentre, Cores: cfg.Cores, CanRelay: cfg.Address != "",
-		Crowded: cfg.Crowded, Live: cfg.Live, Watchers: f.Watchers, Draw: cfg.Draw})
+	f.machine = NewMachine(MachineConfig{StartID: cfg.StartID, DataCentre: cfg.DataCentre, Cores: cfg.Cores, CanRelay: cfg.Address != "",
+		UseRelays: cfg.UseRelays, Live: cfg.Live, Watchers: f.Watchers, Rand: cfg.Rand})
 	return f
 }
 
@@ -86,11 +86,11 @@
 	}()
 	if f.cfg.Dial == nil {
 		f.carryOut(ctx, ReadStore{})
-		f.carryOut(ctx, Took{Source{Kind: FromStore}, "begins"})
+		f.carryOut(ctx, SetSource{Source{Kind: FromStore}, "begins"})
 		<-ctx.Done()
 		return nil
 	}
-	f.reduce(ctx, Began{time.Now()})
+	f.reduce(ctx, Started{time.Now()})
 	for {
 		timer := time.NewTimer(untilNext(f.machine.Next()))
 		select {
@@ -139,48 +139,48 @@
 func (f *Follower) carryOut(ctx context.Context, eff Effect) {
 	switch e := eff.(type) {
 	case ReadDirectory:
-		f.cfg.Group(func() error {
+		f.cfg.Go(func() error {
 			relays, err := f.readDirectory(ctx)
 			f.post(ctx, DirectoryRead{time.Now(), relays, err})
 			return nil
 		})
-	case Try:
+	case Connect:
 		f.begin(ctx, e.Relay)
-	case EndTries:
+	case CloseConnections:
 		f.endTries(e.Keep)
-	case Open:
+	case OpenWatch:
 		f.open(ctx, e.Relay)
 	case ReadStore:
 		f.stop()
 		f.stop = f.readStore(ctx)
-	case Claim:
-		f.cfg.Group(func() error {
-			f.post(ctx, Claimed{time.Now(), f.claim(ctx, e)})
+	case ClaimSlot:
+		f.cfg.Go(func() error {
+			f.post(ctx, ClaimDone{time.Now(), f.claim(ctx, e)})
 			return nil
 		})
-	case Serve:
+	case StartRelay:
 		f.stop()
 		f.stop = f.serve(ctx, e.Key)
-	case StopServing:
+	case StopRelay:
 		f.stop()
 		f.stop = func() {}
 		f.setRelay(nil)
-	case TellLost:
+	case NotifyUnavailable:
 		for _, t := range f.cfg.Tables {
-			f.cfg.Tell(ctx, feed.Update{Table: t.Name, At: time.Now(), Err: errNoSource})
+			f.cfg.OnUpdate(ctx, feed.Update{Table: t.Name, At: time.Now(), Err: errNoSource})
 		}
-	case Took:
+	case SetSource:
 		f.take(e)
 	}
 }
 
 // take tells what the tables are followed by from now on.
-func (f *Follower) take(t Took) {
+func (f *Follower) take(t SetSource) {
 	now := time.Now()
 	f.mu.Lock()
-	e := Event{Source: t.Source, Why: t.Why}
+	e := Event{Source: t.Source, Reason: t.Reason}
 	if f.source.Kind == None && t.Source.Kind != None {
-		e.Away = now.Sub(f.lostAt)
+		e.Downtime = now.Sub(f.lostAt)
 	}
 	if f.source.Kind != None && t.Source.Kind == None {
 		f.lostAt = now
@@ -189,7 +189,7 @@
 	f.source = t.Source
 	f.mu.Unlock()
 	if changed {
-		f.cfg.Observe(e)
+		f.cfg.OnEvent(e)
 	}
 }
 
@@ -200,7 +200,7 @@
 		f.from[u.Table] = u.Version
 		f.mu.Unlock()
 	}
-	f.cfg.Tell(ctx, u)
+	f.cfg.OnUpdate(ctx, u)
 }
 
 // readDirectory reads which relays there are.
@@ -226,21 +226,21 @@
 	relays := f.dir.all()
 	f.mu.Unlock()
 	if err != nil {
-		f.cfg.Observe(Event{Source: f.Source(), Err: err})
+		f.cfg.OnEvent(Event{Source: f.Source(), Err: err})
 	}
 	return relays
 }
 
 // claim takes a slot.
-func (f *Follower) claim(ctx context.Context, c Claim) error {
-	op, err := platform.Put(c.Key, c.Version, Relay{Start: f.cfg.Start, Address: f.cfg.Address, DataCentre: f.cfg.DataCentre})
+func (f *Follower) claim(ctx context.Context, c ClaimSlot) error {
+	op, err := platform.Put(c.Key, c.Version, Relay{StartID: f.cfg.StartID, Address: f.cfg.Address, DataCentre: f.cfg.DataCentre})
 	if err == nil {
 		cctx, cancel := context.WithTimeout(ctx, storeTime)
 		defer cancel()
 		_, err = f.cfg.Store.Commit(cctx, op)
 	}
 	if err != nil {
-		f.cfg.Observe(Event{Source: f.Source(), Err: fmt.Errorf("watch: slot %s not taken: %w", c.Key, err)})
+		f.cfg.OnEvent(Event{Source: f.Source(), Err: fmt.Errorf("watch: slot %s not taken: %w", c.Key, err)})
 	}
 	return err
 }
--- a/pkg/watch/machine.go
+++ b/pkg/watch/machine.go
@@ -7,8 +7,8 @@
 
 // Events that a Machine reduces. Each tells when it happened.
 type (
-	// Began tells that the instance follows nothing yet.
-	Began struct{ At time.Time }
+	// Started tells that the instance follows nothing yet.
+	Started struct{ At time.Time }
 	// Ticked tells the time, at the latest at what Next returned.
 	Ticked struct{ At time.Time }
 	// DirectoryRead tells the outcome of a ReadDirectory.
@@ -23,98 +23,98 @@
 		At     time.Time
 		Relays []Relay // all there are
 	}
-	// Tried tells the outcome of a Try.
-	Tried struct {
+	// ConnectDone tells the outcome of a Try.
+	ConnectDone struct {
 		At      time.Time
 		Address string
-		Outcome Outcome
+		Outcome ConnectOutcome
 	}
-	// Opened tells the outcome of an Open.
-	Opened struct {
+	// WatchOpened tells the outcome of an Open.
+	WatchOpened struct {
 		At  time.Time
 		Err error // nil for a watch that runs
 	}
-	// Heard tells what a watch has told of its relay.
-	Heard struct {
-		At      time.Time
-		Lost    bool // the relay has lost the store
-		Leaving bool // the relay is about to stop
+	// RelayStatus tells what a watch has told of its relay.
+	RelayStatus struct {
+		At               time.Time
+		StoreUnavailable bool // the relay has lost the store
+		Leaving          bool // the relay is about to stop
 	}
-	// Ended tells that a watch has ended.
-	Ended struct {
-		At  time.Time
-		Why string
+	// WatchEnded tells that a watch has ended.
+	WatchEnded struct {
+		At     time.Time
+		Reason string
 	}
-	// Claimed tells the outcome of a Claim.
-	Claimed struct {
+	// ClaimDone tells the outcome of a Claim.
+	ClaimDone struct {
 		At  time.Time
 		Err error
 	}
-	// Left tells that this instance is to be no relay any more, and never again.
-	Left struct{ At time.Time }
+	// RelayingDisabled tells that this instance is to be no relay any more, and never again.
+	RelayingDisabled struct{ At time.Time }
 )
 
 // Effects that a Machine asks for.
 type (
 	// ReadDirectory reads the relays' table from the store.
 	ReadDirectory struct{}
-	// Try opens a link to a relay, and a watch of the relays' table.
-	Try struct{ Relay Relay }
-	// EndTries closes what Tries have opened, and gives up those under way, but for the
+	// Connect opens a link to a relay, and a watch of the relays' table.
+	Connect struct{ Relay Relay }
+	// CloseConnections closes what Tries have opened, and gives up those under way, but for the
 	// relay at the address Keep.
-	EndTries struct{ Keep string }
-	// Open ends what is followed, and watches all tables at a relay that was tried.
-	Open struct{ Relay Relay }
+	CloseConnections struct{ Keep string }
+	// OpenWatch ends what is followed, and watches all tables at a relay that was tried.
+	OpenWatch struct{ Relay Relay }
 	// ReadStore ends what is followed, and reads the tables from the store.
 	ReadStore struct{}
-	// Claim takes a slot.
-	Claim struct {
+	// ClaimSlot takes a slot.
+	ClaimSlot struct {
 		Key     string
 		Version uint64 // of its row; 0 if it has none
 	}
-	// Serve ends what is followed, and reads the tables from the store for others.
-	Serve struct{ Key string }
-	// StopServing ends that.
-	StopServing struct{}
-	// TellLost tells that the tables cannot be read for now.
-	TellLost struct{}
-	// Took tells what the tables are followed by from now on, and why.
-	Took struct {
+	// StartRelay ends what is followed, and reads the tables from the store for others.
+	StartRelay struct{ Key string }
+	// StopRelay ends that.
+	StopRelay struct{}
+	// NotifyUnavailable tells that the tables cannot be read for now.
+	NotifyUnavailable struct{}
+	// SetSource tells what the tables are followed by from now on, and why.
+	SetSource struct {
 		Source Source
-		Why    string
+		Reason string
 	}
 )
 
 // Effect is one of the effects.
 type Effect any
 
-// Outcome is what became of a Try.
-type Outcome int
+// ConnectOutcome is what became of a Try.
+type ConnectOutcome int
 
 // The outcomes of a Try.
 const (
-	Serves  Outcome = iota // the relay has the store
-	HasLost                // the relay has lost it
-	IsFull                 // the relay has no room
-	IsGone                 // there is no relay, or it is about to stop
+	RelayReady        ConnectOutcome = iota // the relay has the store
+	RelayWithoutStore                       // the relay has lost it
+	RelayFull                               // the relay has no room
+	RelayGone                               // there is no relay, or it is about to stop
 )
 
 // MachineConfig configures a Machine.
 type MachineConfig struct {
-	Start      string  // identifies the start of this instance
+	StartID    string  // identifies the start of this instance
 	DataCentre string  // that it is in
 	Cores      float64 // processor cores that it has
 	CanRelay   bool    // others can connect to it
-	// Crowded reports whether the tables are so large that they are not to be read by
+	// UseRelays reports whether the tables are so large that they are not to be read by
 	// each instance.
-	Crowded func() bool
+	UseRelays func() bool
 	// Live reports whether the instance with a start is there; known is false while
 	// that cannot be told.
 	Live func(start string) (live, known bool)
 	// Watchers returns how many instances follow tables through this one.
 	Watchers func() int
-	// Draw returns a number drawn evenly from [0, 1).
-	Draw func() float64
+	// Rand returns a number drawn evenly from [0, 1).
+	Rand func() float64
 }
 
 // Machine decides what an instance follows tables by. It does no I/O: it is told events
@@ -134,7 +134,7 @@
 	giveUpAt  time.Time // when an instance that knows nothing reads the store
 	looks     int       // at the directory since the last source was left
 	claimAt   time.Time // when a free slot may be taken; zero while none is known to be free
-	claiming  Claim     // that is under way, or was carried out; zero for none
+	claiming  ClaimSlot // that is under way, or was carried out; zero for none
 	left      bool
 	relay     Relay     // that is watched
 	lostAt    time.Time // since when it has lost the store; zero if it has not
@@ -174,7 +174,7 @@
 // Reduce applies ev and returns what to do.
 func (m *Machine) Reduce(ev any) []Effect {
 	switch e := ev.(type) {
-	case Began:
+	case Started:
 		m.giveUpAt = e.At.Add(patience)
 		return []Effect{ReadDirectory{}}
 	case Ticked:
@@ -183,20 +183,20 @@
 		return m.onDirectory(e)
 	case DirectoryChanged:
 		m.dir.set(e.Relays)
-	case Tried:
+	case ConnectDone:
 		return m.onTried(e)
-	case Opened:
+	case WatchOpened:
 		return m.onOpened(e)
-	case Heard:
+	case RelayStatus:
 		return m.onHeard(e)
-	case Ended:
+	case WatchEnded:
 		if m.mode == watching {
 			m.avoid(m.relay.Address, gone, e.At)
-			return append([]Effect{Took{Source{Kind: None}, e.Why}}, m.seek(e.At, e.Why)...)
+			return append([]Effect{SetSource{Source{Kind: None}, e.Reason}}, m.seek(e.At, e.Reason)...)
 		}
-	case Claimed:
+	case ClaimDone:
 		return m.onClaimed(e)
-	case Left:
+	case RelayingDisabled:
 		m.left = true
 	}
 	return nil
@@ -205,7 +205,7 @@
 // seek begins to look for a relay, first among those that are known.
 func (m *Machine) seek(now time.Time, why string) []Effect {
 	m.mode, m.why, m.looks, m.lookAt, m.search = seeking, why, 0, time.Time{}, nil
-	return append([]Effect{EndTries{}}, m.find(now)...)
+	return append([]Effect{CloseConnections{}}, m.find(now)...)
 }
 
 // find tries all relays that are known. An instance that knows the tables does not wait
@@ -236,7 +236,7 @@
 	case seeking:
 		return []Effect{ReadDirectory{}}
 	case direct:
-		if m.cfg.Crowded() {
+		if m.cfg.UseRelays() {
 			return []Effect{ReadDirectory{}}
 		}
 		m.lookAgain(now)
@@ -244,8 +244,8 @@
 		return m.check(now)
 	case serving:
 		if m.cfg.Watchers() == 0 && !m.holds(m.claiming.Key) {
-			m.claiming = Claim{}
-			return append([]Effect{StopServing{}, Took{Source{Kind: None}, "its slot is another's"}}, m.seek(now, "its slot is another's")...)
+			m.claiming = ClaimSlot{}
+			return append([]Effect{StopRelay{}, SetSource{Source{Kind: None}, "its slot is another's"}}, m.seek(now, "its slot is another's")...)
 		}
 		m.lookAt = now.Add(checkPause)
 	}
@@ -254,7 +254,7 @@
 
 // lookAgain has the time be told when relays are looked for again.
 func (m *Machine) lookAgain(now time.Time) {
-	pause := time.Duration((0.5 + m.cfg.Draw()) * float64(lookPause))
+	pause := time.Duration((0.5 + m.cfg.Rand()) * float64(lookPause))
 	if !m.claimAt.IsZero() {
 		pause = min(pause, max(m.claimAt.Sub(now), minPause))
 	}
@@ -268,13 +268,13 @@
 	if m.mode == serving {
 		return nil
 	}
-	if m.claiming != (Claim{}) && m.holds(m.claiming.Key) {
+	if m.claiming != (ClaimSlot{}) && m.holds(m.claiming.Key) {
 		return m.serve(e.At) // the answer to its claim was lost
 	}
-	m.claiming = Claim{}
+	m.claiming = ClaimSlot{}
 	switch m.mode {
 	case seeking:
-		if e.Err == nil && len(m.dir.relays) == 0 && !m.cfg.Crowded() {
+		if e.Err == nil && len(m.dir.relays) == 0 && !m.cfg.UseRelays() {
 			return m.readStore(e.At) // a small site
 		}
 		return m.find(e.At)
@@ -303,22 +303,22 @@
 	}
 	m.looks++
 	if m.known {
-		return []Effect{TellLost{}, ReadDirectory{}}
+		return []Effect{NotifyUnavailable{}, ReadDirectory{}}
 	}
 	m.lookAgain(now)
-	return []Effect{TellLost{}}
+	return []Effect{NotifyUnavailable{}}
 }
 
 func (m *Machine) readStore(now time.Time) []Effect {
 	m.mode, m.known = direct, true
 	m.farFromAt = now.Add(patience)
 	m.lookAgain(now)
-	return []Effect{ReadStore{}, Took{Source{Kind: FromStore}, m.why}}
+	return []Effect{ReadStore{}, SetSource{Source{Kind: FromStore}, m.why}}
 }
 
 // claim returns the effects of taking a slot, nil if none is to be taken now.
 func (m *Machine) claim(now time.Time) []Effect {
-	if !m.cfg.CanRelay || m.left || m.claiming != (Claim{}) {
+	if !m.cfg.CanRelay || m.left || m.claiming != (ClaimSlot{}) {
 		return nil
 	}
 	v, ok := m.dir.vacant(m.cfg.DataCentre, func(r Relay) condition { return m.condition(r, now) })
@@ -327,33 +327,33 @@
 		return nil
 	}
 	if m.claimAt.IsZero() {
-		m.claimAt = claimAt(now, m.cfg.Cores, m.cfg.Draw())
+		m.claimAt = claimAt(now, m.cfg.Cores, m.cfg.Rand())
 	}
 	if now.Before(m.claimAt) {
 		return nil
 	}
-	m.claiming = Claim{Key: v.key, Version: v.version}
+	m.claiming = ClaimSlot{Key: v.key, Version: v.version}
 	return []Effect{m.claiming}
 }
 
-func (m *Machine) onClaimed(e Claimed) []Effect {
+func (m *Machine) onClaimed(e ClaimDone) []Effect {
 	if e.Err != nil {
 		return []Effect{ReadDirectory{}} // another has taken it, or this instance may have
 	}
-	m.dir.take(m.claiming.Key, Relay{Start: m.cfg.Start, DataCentre: m.cfg.DataCentre})
+	m.dir.take(m.claiming.Key, Relay{StartID: m.cfg.StartID, DataCentre: m.cfg.DataCentre})
 	return m.serve(e.At)
 }
 
 // serve makes this instance the relay that has the slot claimed.
 func (m *Machine) serve(now time.Time) []Effect {
 	m.mode, m.known, m.claimAt, m.lookAt, m.search = serving, true, time.Time{}, now.Add(checkPause), nil
-	return []Effect{EndTries{}, Serve{Key: m.claiming.Key}, Took{Source{Kind: AsRelay}, "a relay is wanted"}}
+	return []Effect{CloseConnections{}, StartRelay{Key: m.claiming.Key}, SetSource{Source{Kind: AsRelay}, "a relay is wanted"}}
 }
 
 // holds reports whether this instance has the slot with a key.
 func (m *Machine) holds(key string) bool {
 	r, ok := m.dir.of(key)
-	return ok && r.Start == m.cfg.Start
+	return ok && r.StartID == m.cfg.StartID
 }
 
 // minPause is the least time between two looks for a relay.
@@ -361,7 +361,7 @@
 
 // condition returns how a relay was found.
 func (m *Machine) condition(r Relay, now time.Time) condition {
-	if r.Start == m.cfg.Start {
+	if r.StartID == m.cfg.StartID {
 		if m.mode != serving {
 			return gone // the answer to its claim was lost
 		}
@@ -370,7 +370,7 @@
 	if a := m.avoided[r.Address]; now.Before(a.until) {
 		return a.found
 	}
-	if live, known := m.cfg.Live(r.Start); known && !live {
+	if live, known := m.cfg.Live(r.StartID); known && !live {
 		return gone
 	}
 	return useful
@@ -389,7 +389,7 @@
 // them all others if these are wanted.
 func (m *Machine) candidates(now time.Time, others bool) []Relay {
 	var out []Relay
-	for _, r := range m.dir.nearest(m.cfg.DataCentre, m.cfg.Start, m.cfg.Draw) {
+	for _, r := range m.dir.nearest(m.cfg.DataCentre, m.cfg.StartID, m.cfg.Rand) {
 		if now.Before(m.avoided[r.Address].until) || !others && r.DataCentre != m.cfg.DataCentre {
 			continue
 		}
@@ -398,7 +398,7 @@
 	return out
 }
 
-func (m *Machine) onOpened(e Opened) []Effect {
+func (m *Machine) onOpened(e WatchOpened) []Effect {
 	if m.mode != opening {
 		return nil
 	}
@@ -412,10 +412,10 @@
 		return m.find(e.At)
 	}
 	m.mode, m.known, m.lostAt, m.lookAt = watching, true, time.Time{}, e.At.Add(checkPause)
-	return []Effect{Took{Source{Kind: FromRelay, Relay: m.relay.Address}, m.why}}
+	return []Effect{SetSource{Source{Kind: FromRelay, Relay: m.relay.Address}, m.why}}
 }
 
-func (m *Machine) onHeard(e Heard) []Effect {
+func (m *Machine) onHeard(e RelayStatus) []Effect {
 	if m.mode != watching {
 		return nil
 	}
@@ -423,7 +423,7 @@
 	case e.Leaving:
 		m.avoid(m.relay.Address, gone, e.At)
 		return m.seek(e.At, "the relay is about to stop")
-	case !e.Lost:
+	case !e.StoreUnavailable:
 		m.lostAt = time.Time{}
 	case m.lostAt.IsZero():
 		m.lostAt = e.At
--- a/pkg/watch/machine_test.go
+++ b/pkg/watch/machine_test.go
@@ -28,9 +28,9 @@
 
 func decide(start string) *decided {
 	d := &decided{now: epoch, crowded: true, gone: map[string]bool{}}
-	d.Machine = watch.NewMachine(watch.MachineConfig{Start: start, DataCentre: "z1", Cores: 0.8, CanRelay: true,
-		Crowded: func() bool { return d.crowded }, Live: func(s string) (bool, bool) { return !d.gone[s], true },
-		Watchers: func() int { return 0 }, Draw: func() float64 { return 0.5 }})
+	d.Machine = watch.NewMachine(watch.MachineConfig{StartID: start, DataCentre: "z1", Cores: 0.8, CanRelay: true,
+		UseRelays: func() bool { return d.crowded }, Live: func(s string) (bool, bool) { return !d.gone[s], true },
+		Watchers: func() int { return 0 }, Rand: func() float64 { return 0.5 }})
 	return d
 }
 
@@ -56,7 +56,7 @@
 func tried(effs []watch.Effect) []string {
 	var out []string
 	for _, e := range effs {
-		if t, ok := e.(watch.Try); ok {
+		if t, ok := e.(watch.Connect); ok {
 			out = append(out, t.Relay.Address)
 		}
 	}
@@ -69,20 +69,20 @@
 }
 
 func relay(address, dataCentre string, slot int) watch.Relay {
-	return watch.Relay{Start: address + "#1", Address: address, DataCentre: dataCentre, Slot: slot}
+	return watch.Relay{StartID: address + "#1", Address: address, DataCentre: dataCentre, Slot: slot}
 }
 
 // watching returns a machine that follows the relay at "a", of those given.
 func watching(t *testing.T, relays ...watch.Relay) *decided {
 	t.Helper()
 	d := decide("n#1")
-	d.tell(watch.Began{At: d.now})
+	d.tell(watch.Started{At: d.now})
 	d.tell(watch.DirectoryRead{At: d.now, Relays: relays})
 	d.until(d.now.Add(500 * time.Millisecond))
-	if effs := d.tell(watch.Tried{At: d.now, Address: "a", Outcome: watch.Serves}); !has[watch.Open](effs) {
+	if effs := d.tell(watch.ConnectDone{At: d.now, Address: "a", Outcome: watch.RelayReady}); !has[watch.OpenWatch](effs) {
 		t.Fatalf("effects %v", effs)
 	}
-	d.tell(watch.Opened{At: d.now})
+	d.tell(watch.WatchOpened{At: d.now})
 	return d
 }
 
@@ -90,7 +90,7 @@
 func TestSmallSiteIsReadFromTheStore(t *testing.T) {
 	d := decide("n#1")
 	d.crowded = false
-	if effs := d.tell(watch.Began{At: d.now}); !has[watch.ReadDirectory](effs) {
+	if effs := d.tell(watch.Started{At: d.now}); !has[watch.ReadDirectory](effs) {
 		t.Fatalf("effects %v", effs)
 	}
 	if effs := d.tell(watch.DirectoryRead{At: d.now}); !has[watch.ReadStore](effs) {
@@ -107,12 +107,12 @@
 	d := watching(t, relay("a", "z1", 0), relay("b", "z1", 1), relay("c", "z2", 0), relay("d", "z2", 1))
 	begun := d.now.Add(4 * time.Second) // what was found of others is forgotten
 	d.until(begun)
-	effs := d.tell(watch.Ended{At: begun, Why: "silent"})
+	effs := d.tell(watch.WatchEnded{At: begun, Reason: "silent"})
 	effs = append(effs, d.until(begun.Add(300*time.Millisecond))...)
 	if got := tried(effs); len(got) != 3 || got[0] != "b" {
 		t.Fatalf("tried %v within 0.3 s, want b and two of the other data centre", got)
 	}
-	if effs = d.until(begun.Add(850 * time.Millisecond)); !has[watch.ReadDirectory](effs) || !has[watch.TellLost](effs) {
+	if effs = d.until(begun.Add(850 * time.Millisecond)); !has[watch.ReadDirectory](effs) || !has[watch.NotifyUnavailable](effs) {
 		t.Fatalf("effects %v after 0.85 s", effs)
 	}
 	effs = d.tell(watch.DirectoryRead{At: d.now, Relays: []watch.Relay{relay("a", "z1", 0), relay("b", "z1", 1), relay("c", "z2", 0)}})
@@ -129,14 +129,14 @@
 		relays = append(relays, relay(fmt.Sprintf("r%d", i), "z1", i))
 	}
 	d := decide("n#1")
-	d.tell(watch.Began{At: d.now})
+	d.tell(watch.Started{At: d.now})
 	effs := d.tell(watch.DirectoryRead{At: d.now, Relays: relays})
 	for range 10 {
 		for _, address := range tried(effs) {
-			effs = d.tell(watch.Tried{At: d.now, Address: address, Outcome: watch.HasLost})
+			effs = d.tell(watch.ConnectDone{At: d.now, Address: address, Outcome: watch.RelayWithoutStore})
 		}
 	}
-	if n := len(tried(d.effects)); n != 3 || !has[watch.Open](effs) {
+	if n := len(tried(d.effects)); n != 3 || !has[watch.OpenWatch](effs) {
 		t.Fatalf("%d relays tried, then %v", n, effs)
 	}
 }
@@ -146,20 +146,20 @@
 func TestRelayThatHasLostTheStore(t *testing.T) {
 	d := watching(t, relay("a", "z1", 0), relay("b", "z1", 1))
 	d.until(d.now.Add(4 * time.Second))
-	d.tell(watch.Heard{At: d.now, Lost: true})
-	d.tell(watch.Heard{At: d.now.Add(500 * time.Millisecond)})
+	d.tell(watch.RelayStatus{At: d.now, StoreUnavailable: true})
+	d.tell(watch.RelayStatus{At: d.now.Add(500 * time.Millisecond)})
 	if effs := d.until(d.now.Add(3 * time.Second)); len(tried(effs)) != 0 {
 		t.Fatalf("effects %v of a short loss", effs)
 	}
-	d.tell(watch.Heard{At: d.now, Lost: true})
+	d.tell(watch.RelayStatus{At: d.now, StoreUnavailable: true})
 	effs := d.until(d.now.Add(3 * time.Second))
 	if got := tried(effs); len(got) == 0 || got[0] != "b" {
 		t.Fatalf("tried %v in 3 s, want b", got)
 	}
-	if effs = d.tell(watch.Tried{At: d.now, Address: "b", Outcome: watch.Serves}); len(effs) == 0 {
+	if effs = d.tell(watch.ConnectDone{At: d.now, Address: "b", Outcome: watch.RelayReady}); len(effs) == 0 {
 		effs = d.effects
 	}
-	if !has[watch.Open](effs) && !has[watch.Open](d.until(d.now.Add(time.Second))) {
+	if !has[watch.OpenWatch](effs) && !has[watch.OpenWatch](d.until(d.now.Add(time.Second))) {
 		t.Fatalf("effects %v once another serves", effs)
 	}
 }
@@ -168,12 +168,12 @@
 func TestClaimsWait(t *testing.T) {
 	claims := func(relays ...watch.Relay) time.Duration {
 		d := decide("n#1")
-		d.tell(watch.Began{At: d.now})
+		d.tell(watch.Started{At: d.now})
 		d.tell(watch.DirectoryRead{At: d.now})
 		for after := time.Duration(0); after < 4*time.Second; after += 10 * time.Millisecond {
 			effs := d.until(epoch.Add(after))
 			for len(effs) > 0 {
-				if has[watch.Claim](effs) {
+				if has[watch.ClaimSlot](effs) {
 					return after
 				}
 				var next []watch.Effect
@@ -181,8 +181,8 @@
 					switch e := e.(type) {
 					case watch.ReadDirectory:
 						next = append(next, d.tell(watch.DirectoryRead{At: d.now, Relays: relays})...)
-					case watch.Try:
-						next = append(next, d.tell(watch.Tried{At: d.now, Address: e.Relay.Address, Outcome: watch.IsFull})...)
+					case watch.Connect:
+						next = append(next, d.tell(watch.ConnectDone{At: d.now, Address: e.Relay.Address, Outcome: watch.RelayFull})...)
 					}
 				}
 				effs = next
@@ -198,12 +198,12 @@
 	}
 	d := watching(t, relay("a", "z1", 0), relay("b", "z1", 1))
 	d.until(d.now.Add(time.Minute))
-	if has[watch.Claim](d.effects) {
+	if has[watch.ClaimSlot](d.effects) {
 		t.Error("a third slot is taken")
 	}
 	d.gone["b#1"] = true
 	d.until(d.now.Add(5 * time.Second))
-	if !has[watch.Claim](d.effects) {
+	if !has[watch.ClaimSlot](d.effects) {
 		t.Error("the slot of a relay that has gone is not taken")
 	}
 }
@@ -220,15 +220,15 @@
 		take := func(effs []watch.Effect) {
 			for _, e := range effs {
 				switch e.(type) {
-				case watch.ReadDirectory, watch.Try, watch.Claim:
+				case watch.ReadDirectory, watch.Connect, watch.ClaimSlot:
 					under = append(under, e)
-				case watch.EndTries:
-					under = slices.DeleteFunc(under, func(e watch.Effect) bool { _, ok := e.(watch.Try); return ok })
-				case watch.Open:
+				case watch.CloseConnections:
+					under = slices.DeleteFunc(under, func(e watch.Effect) bool { _, ok := e.(watch.Connect); return ok })
+				case watch.OpenWatch:
 					under, following = append(under, e), false
-				case watch.ReadStore, watch.Serve:
+				case watch.ReadStore, watch.StartRelay:
 					following = true
-				case watch.StopServing:
+				case watch.StopRelay:
 					following = false
 				}
 			}
@@ -247,24 +247,24 @@
 				} else {
 					take(d.tell(watch.DirectoryRead{At: d.now, Err: errAway}))
 				}
-			case watch.Try:
-				o := watch.Serves
+			case watch.Connect:
+				o := watch.RelayReady
 				if !good {
-					o = rapid.SampledFrom([]watch.Outcome{watch.HasLost, watch.IsFull, watch.IsGone}).Draw(t, "outcome")
+					o = rapid.SampledFrom([]watch.ConnectOutcome{watch.RelayWithoutStore, watch.RelayFull, watch.RelayGone}).Draw(t, "outcome")
 				}
-				take(d.tell(watch.Tried{At: d.now, Address: e.Relay.Address, Outcome: o}))
-			case watch.Claim:
+				take(d.tell(watch.ConnectDone{At: d.now, Address: e.Relay.Address, Outcome: o}))
+			case watch.ClaimSlot:
 				if good {
 					relays = append(slices.DeleteFunc(relays, func(r watch.Relay) bool { return watch.Key(r.DataCentre, r.Slot) == e.Key }), relay("n", "z1", 9))
-					take(d.tell(watch.Claimed{At: d.now}))
+					take(d.tell(watch.ClaimDone{At: d.now}))
 				} else {
-					take(d.tell(watch.Claimed{At: d.now, Err: errAway}))
+					take(d.tell(watch.ClaimDone{At: d.now, Err: errAway}))
 				}
-			case watch.Open:
+			case watch.OpenWatch:
 				if following = good; good {
-					take(d.tell(watch.Opened{At: d.now}))
+					take(d.tell(watch.WatchOpened{At: d.now}))
 				} else {
-					take(d.tell(watch.Opened{At: d.now, Err: errors.New("no")}))
+					take(d.tell(watch.WatchOpened{At: d.now, Err: errors.New("no")}))
 				}
 			}
 		}
@@ -273,23 +273,23 @@
 				t.Fatalf("waits for nothing after %v", d.effects)
 			}
 		}
-		take(d.tell(watch.Began{At: d.now}))
+		take(d.tell(watch.Started{At: d.now}))
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			notStuck()
 			switch ev := rapid.SampledFrom([]string{"outcome", "outcome", "outcome", "time", "time", "ended", "heard", "crowd", "left"}).Draw(t, "event"); {
 			case ev == "outcome" && len(under) > 0:
 				answer(rapid.IntRange(0, len(under)-1).Draw(t, "which"), rapid.Bool().Draw(t, "good"))
 			case ev == "ended":
-				if effs := d.tell(watch.Ended{At: d.now, Why: "silent"}); len(effs) > 0 {
+				if effs := d.tell(watch.WatchEnded{At: d.now, Reason: "silent"}); len(effs) > 0 {
 					following = false
 					take(effs)
 				}
 			case ev == "heard":
-				take(d.tell(watch.Heard{At: d.now, Lost: rapid.Bool().Draw(t, "lost")}))
+				take(d.tell(watch.RelayStatus{At: d.now, StoreUnavailable: rapid.Bool().Draw(t, "lost")}))
 			case ev == "crowd":
 				d.crowded = true
 			case ev == "left":
-				take(d.tell(watch.Left{At: d.now}))
+				take(d.tell(watch.RelayingDisabled{At: d.now}))
 			default:
 				take(d.until(d.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)))
 			}
--- a/pkg/watch/relay.go
+++ b/pkg/watch/relay.go
@@ -60,7 +60,7 @@
 				r.urgent.ring()
 			}
 		}
-		r.caches[t.Name] = watchcache.New(watchcache.Config{Digest: t.Digest, Changed: changed})
+		r.caches[t.Name] = watchcache.New(watchcache.Config{Digest: t.Digest, OnChange: changed})
 	}
 	return r
 }
@@ -104,8 +104,8 @@
 	r.caches[table].Replace(rows, at)
 }
 
-// Relays reports whether this instance is a relay.
-func (f *Follower) Relays() bool { return f.relaying() != nil }
+// IsRelay reports whether this instance is a relay.
+func (f *Follower) IsRelay() bool { return f.relaying() != nil }
 
 // Watchers returns how many instances follow tables through this one.
 func (f *Follower) Watchers() int {
@@ -135,10 +135,10 @@
 	r.watchers--
 }
 
-// Leave has this instance be no relay any more, and never again: those that follow
+// DisableRelaying has this instance be no relay any more, and never again: those that follow
 // tables through it are told to look for another. It may be called once, while Run runs.
-func (f *Follower) Leave(ctx context.Context) error {
-	f.post(ctx, Left{time.Now()})
+func (f *Follower) DisableRelaying(ctx context.Context) error {
+	f.post(ctx, RelayingDisabled{time.Now()})
 	f.mu.Lock()
 	r := f.relay
 	f.mu.Unlock()
@@ -151,7 +151,7 @@
 	f.mu.Lock()
 	at, ok := f.dir.of(r.key)
 	f.mu.Unlock()
-	if !ok || at.Start != f.cfg.Start {
+	if !ok || at.StartID != f.cfg.StartID {
 		return nil // its slot is another's, or not known to be its own yet
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTime)
--- a/pkg/watch/search.go
+++ b/pkg/watch/search.go
@@ -61,14 +61,14 @@
 	r := s.left[0]
 	s.left = s.left[1:]
 	s.under[r.Address] = trial{r, now}
-	return []Effect{Try{r}}
+	return []Effect{Connect{r}}
 }
 
-func (m *Machine) onTried(e Tried) []Effect {
+func (m *Machine) onTried(e ConnectDone) []Effect {
 	switch e.Outcome {
-	case IsFull:
+	case RelayFull:
 		m.avoid(e.Address, full, e.At)
-	case IsGone:
+	case RelayGone:
 		m.avoid(e.Address, gone, e.At)
 	}
 	s := m.search
@@ -81,9 +81,9 @@
 	}
 	delete(s.under, e.Address)
 	switch e.Outcome {
-	case Serves:
+	case RelayReady:
 		return m.found(t.Relay, e.At)
-	case HasLost:
+	case RelayWithoutStore:
 		s.lost = append(s.lost, t.Relay)
 	}
 	if len(s.lost) >= enoughLost || len(s.left) == 0 && len(s.under) == 0 {
@@ -117,7 +117,7 @@
 
 func (m *Machine) open(r Relay) []Effect {
 	m.mode, m.relay, m.lookAt = opening, r, time.Time{}
-	return []Effect{EndTries{Keep: r.Address}, Open{r}}
+	return []Effect{CloseConnections{Keep: r.Address}, OpenWatch{r}}
 }
 
 // searched ends a search in which no relay was found that serves.
@@ -132,7 +132,7 @@
 	if s.purpose == forAny && len(s.lost) > 0 {
 		return m.open(s.lost[0])
 	}
-	effs := []Effect{EndTries{}}
+	effs := []Effect{CloseConnections{}}
 	if s.purpose == forAny {
 		return append(effs, m.notFound(now)...)
 	}
--- a/pkg/watch/serve.go
+++ b/pkg/watch/serve.go
@@ -14,22 +14,22 @@
 var errNotARelay = errors.New("watch: this instance is no relay")
 
 // Watch implements peer.WatchServer.
-func (f *Follower) Watch(ctx context.Context, tables []peer.WatchedTable, send func(peer.News) error) error {
+func (f *Follower) Watch(ctx context.Context, tables []peer.WatchedTable, send func(peer.WatchUpdate) error) error {
 	r := f.relaying()
 	switch {
 	case r == nil:
 		return errNotARelay
 	case r.leaving.Load():
-		return send(peer.News{Leaving: true})
+		return send(peer.WatchUpdate{Leaving: true})
 	case !r.enter():
-		return send(peer.News{Full: true})
+		return send(peer.WatchUpdate{Full: true})
 	}
 	defer r.leave()
 	return r.serve(ctx, tables, send)
 }
 
 // serve tells a watcher what changes until ctx ends or the watcher is gone.
-func (r *relay) serve(ctx context.Context, tables []peer.WatchedTable, send func(peer.News) error) error {
+func (r *relay) serve(ctx context.Context, tables []peer.WatchedTable, send func(peer.WatchUpdate) error) error {
 	s := served{relay: r, after: map[string]uint64{}, lost: map[string]bool{}}
 	for _, t := range tables {
 		s.after[t.Table] = t.After
@@ -40,7 +40,7 @@
 	for signs := 0; ctx.Err() == nil; signs++ {
 		news, urgent := r.news.wait(), r.urgent.wait()
 		leaving := r.leaving.Load()
-		n := peer.News{Leaving: leaving, Tables: s.since(time.Now(), signs%versionSigns == 0)}
+		n := peer.WatchUpdate{Leaving: leaving, Tables: s.since(time.Now(), signs%versionSigns == 0)}
 		if err := send(n); err != nil {
 			return err
 		}
@@ -65,7 +65,7 @@
 		read := true
 		for _, t := range tables {
 			c := r.caches[t.Table]
-			read = read && (c == nil || c.State().Read)
+			read = read && (c == nil || c.State().Loaded)
 		}
 		if read {
 			return true
@@ -108,24 +108,24 @@
 
 // since returns what is to be told at now: tables that have changed, all of them in the
 // first answer and if versions are to be told.
-func (s *served) since(now time.Time, versions bool) []peer.TableNews {
-	var out []peer.TableNews
+func (s *served) since(now time.Time, versions bool) []peer.TableUpdate {
+	var out []peer.TableUpdate
 	s.more = false
 	for table, after := range s.after {
 		c := s.relay.caches[table]
 		if c == nil { // a table of another release
 			if !s.begun {
-				out = append(out, peer.TableNews{Table: table, Lost: true})
+				out = append(out, peer.TableUpdate{Table: table, Unavailable: true})
 			}
 			continue
 		}
 		d := c.Since(after)
-		lost := d.Lost || now.Sub(d.ReadAt) > lostAfter
+		lost := d.Unavailable || now.Sub(d.ReadAt) > lostAfter
 		if s.begun && !versions && len(d.Changes) == 0 && !d.Reset && lost == s.lost[table] {
 			continue
 		}
 		s.after[table], s.lost[table], s.more = d.Version, lost, s.more || d.More
-		out = append(out, peer.TableNews{Table: table, Reset: d.Reset, Changes: d.Changes, Version: d.Version, Lost: lost})
+		out = append(out, peer.TableUpdate{Table: table, Reset: d.Reset, Changes: d.Changes, Version: d.Version, Unavailable: lost})
 	}
 	s.begun = true
 	return out
--- a/pkg/watch/session.go
+++ b/pkg/watch/session.go
@@ -22,7 +22,7 @@
 	tctx, cancel := context.WithTimeout(ctx, raceTime)
 	t := &try{cancel: cancel}
 	f.tries[r.Address] = t
-	f.cfg.Group(func() error {
+	f.cfg.Go(func() error {
 		j, err := f.join(tctx, r)
 		f.post(ctx, answered{t, j, err})
 		return nil
@@ -58,12 +58,12 @@
 
 // onAnswered keeps what a try has opened and returns what the machine is to be told,
 // nothing for a try that has been ended.
-func (f *Follower) onAnswered(a answered) (Tried, bool) {
+func (f *Follower) onAnswered(a answered) (ConnectDone, bool) {
 	if f.tries[a.joined.Address] != a.try {
 		a.joined.close()
-		return Tried{}, false
+		return ConnectDone{}, false
 	}
-	e := Tried{At: time.Now(), Address: a.joined.Address, Outcome: outcome(a)}
+	e := ConnectDone{At: time.Now(), Address: a.joined.Address, Outcome: outcome(a)}
 	a.try.joined = a.joined
 	if a.err != nil {
 		delete(f.tries, a.joined.Address)
@@ -71,16 +71,16 @@
 	return e, true
 }
 
-func outcome(a answered) Outcome {
+func outcome(a answered) ConnectOutcome {
 	switch {
 	case errors.Is(a.err, errFull):
-		return IsFull
+		return RelayFull
 	case a.err != nil:
-		return IsGone
-	case a.joined.first.AnyLost():
-		return HasLost
+		return RelayGone
+	case a.joined.first.AnyUnavailable():
+		return RelayWithoutStore
 	}
-	return Serves
+	return RelayReady
 }
 
 // endTries ends all tries but that of the relay at the address keep.
@@ -96,12 +96,12 @@
 }
 
 // watchFrom opens a watch and waits for its first news, which tell all tables.
-func watchFrom(link Link, tables []peer.WatchedTable) (Session, peer.News, error) {
+func watchFrom(link Link, tables []peer.WatchedTable) (Stream, peer.WatchUpdate, error) {
 	s, err := link.Watch(tables)
 	if err != nil {
-		return nil, peer.News{}, err
+		return nil, peer.WatchUpdate{}, err
 	}
-	var first peer.News
+	var first peer.WatchUpdate
 	for len(first.Tables) < len(tables) {
 		n, err := s.Next(raceTime)
 		switch {
@@ -113,7 +113,7 @@
 		}
 		if err != nil {
 			s.Close()
-			return nil, peer.News{}, err
+			return nil, peer.WatchUpdate{}, err
 		}
 		first.Tables = append(first.Tables, n.Tables...)
 	}
@@ -127,7 +127,7 @@
 	f.stop()
 	f.stop = func() {}
 	if t == nil {
-		f.reduce(ctx, Opened{time.Now(), errLeaving})
+		f.reduce(ctx, WatchOpened{time.Now(), errLeaving})
 		return
 	}
 	t.cancel()
@@ -141,7 +141,7 @@
 		cancel()
 		running.Wait()
 	}
-	f.cfg.Group(func() error {
+	f.cfg.Go(func() error {
 		defer running.Done()
 		defer j.close()
 		defer stopped()
@@ -150,7 +150,7 @@
 		if err == nil && isBehind(first, tables) {
 			err = errBehind
 		}
-		f.post(wctx, Opened{time.Now(), err})
+		f.post(wctx, WatchOpened{time.Now(), err})
 		if err == nil {
 			j.session.Close()
 			f.read(ctx, wctx, s, first)
@@ -161,28 +161,28 @@
 
 // read reads what a relay tells until the watch ends, as it does when watching ends. What
 // has been read is told all the same.
-func (f *Follower) read(ctx, watching context.Context, s Session, n peer.News) {
+func (f *Follower) read(ctx, watching context.Context, s Stream, n peer.WatchUpdate) {
 	lost := map[string]bool{} // tables for which the relay has lost the store
 	told := false             // that it has lost any
 	for {
 		f.learn(ctx, watching, n, lost)
 		if anyLost := len(lost) > 0; n.Leaving || anyLost != told {
 			told = anyLost
-			f.post(watching, Heard{time.Now(), anyLost, n.Leaving})
+			f.post(watching, RelayStatus{time.Now(), anyLost, n.Leaving})
 		}
 		if n.Leaving {
 			return
 		}
 		var err error
 		if n, err = s.Next(silence); err != nil {
-			f.post(watching, Ended{time.Now(), err.Error()})
+			f.post(watching, WatchEnded{time.Now(), err.Error()})
 			return
 		}
 	}
 }
 
 // learn takes what a relay told.
-func (f *Follower) learn(ctx, watching context.Context, n peer.News, lost map[string]bool) {
+func (f *Follower) learn(ctx, watching context.Context, n peer.WatchUpdate, lost map[string]bool) {
 	now := time.Now()
 	for _, t := range n.Tables {
 		if t.Table == Table {
@@ -191,11 +191,11 @@
 			}
 			continue
 		}
-		if !t.Lost || t.Reset || len(t.Changes) > 0 {
+		if !t.Unavailable || t.Reset || len(t.Changes) > 0 {
 			delete(lost, t.Table)
 			f.tell(ctx, feed.Update{Table: t.Table, At: now, Reset: t.Reset, Changes: t.Changes, Version: t.Version, Relayed: true})
 		}
-		if t.Lost {
+		if t.Unavailable {
 			lost[t.Table] = true
 			f.tell(ctx, feed.Update{Table: t.Table, At: now, Err: errRelayLost, Relayed: true})
 		}
@@ -227,7 +227,7 @@
 
 // isBehind reports whether a relay tells less than is known here: it has been suspended,
 // say, and does not know.
-func isBehind(n peer.News, asked []peer.WatchedTable) bool {
+func isBehind(n peer.WatchUpdate, asked []peer.WatchedTable) bool {
 	for _, t := range n.Tables {
 		for _, a := range asked {
 			if a.Table == t.Table && t.Version < a.After {
--- a/pkg/watch/watch.go
+++ b/pkg/watch/watch.go
@@ -98,20 +98,20 @@
 // Link is a connection to a relay.
 type Link interface {
 	// Watch opens a watch of tables.
-	Watch(tables []peer.WatchedTable) (Session, error)
+	Watch(tables []peer.WatchedTable) (Stream, error)
 	// Close ends the watches of the link.
 	Close()
 }
 
-// Session is a watch that is open.
-type Session interface {
+// Stream is a watch that is open.
+type Stream interface {
 	// Next returns the next news, which come within a time if the relay lives.
-	Next(within time.Duration) (peer.News, error)
+	Next(within time.Duration) (peer.WatchUpdate, error)
 	Close()
 }
 
-// Peers is the Dial of links to peers.
-func Peers(ctx context.Context, address string) (Link, error) {
+// DialPeer is the Dial of links to peers.
+func DialPeer(ctx context.Context, address string) (Link, error) {
 	l, err := peer.DialLink(ctx, address)
 	if err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 
 type peerLink struct{ *peer.Link }
 
-func (l peerLink) Watch(tables []peer.WatchedTable) (Session, error) {
+func (l peerLink) Watch(tables []peer.WatchedTable) (Stream, error) {
 	w, err := l.Link.Watch(tables)
 	if err != nil {
 		return nil, err
@@ -131,27 +131,27 @@
 
 // Config configures a Follower.
 type Config struct {
-	Start      string  // identifies the start of this instance
+	StartID    string  // identifies the start of this instance
 	DataCentre string  // that it is in
 	Address    string  // where other instances connect; empty if it cannot be a relay
 	Cores      float64 // processor cores that it has
 	Store      platform.Store
 	Dial       Dial // nil for following the store only
 	Tables     []TableConfig
-	// Crowded reports whether the tables are so large that they are not to be read by
+	// UseRelays reports whether the tables are so large that they are not to be read by
 	// each instance.
-	Crowded func() bool
+	UseRelays func() bool
 	// Live reports whether the instance with a start is there; known is false while
 	// that cannot be told.
 	Live func(start string) (live, known bool)
-	// Tell is given what is learned of each table, in order.
-	Tell func(context.Context, feed.Update)
-	// Group starts a goroutine of the instance's group.
-	Group func(func() error)
-	// Draw returns a number drawn evenly from [0, 1).
-	Draw func() float64
-	// Observe is told of each change of the source, and of errors; nil for nobody.
-	Observe func(Event)
+	// OnUpdate is given what is learned of each table, in order.
+	OnUpdate func(context.Context, feed.Update)
+	// Go starts a goroutine of the instance's group.
+	Go func(func() error)
+	// Rand returns a number drawn evenly from [0, 1).
+	Rand func() float64
+	// OnEvent is told of each change of the source, and of errors; nil for nobody.
+	OnEvent func(Event)
 }
 
 // Kind is what an instance follows tables by.
@@ -182,9 +182,9 @@
 // Event is a change of the source, or an error.
 type Event struct {
 	Source Source
-	Why    string
-	// Away is how long there was none.
-	Away time.Duration
+	Reason string
+	// Downtime is how long there was none.
+	Downtime time.Duration
 	// Err is of a slot that was not taken, or a row that cannot be read.
 	Err error
 }
--- a/pkg/watch/watch_test.go
+++ b/pkg/watch/watch_test.go
@@ -143,13 +143,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	in := &instance{name: name, end: cancel, wait: func() { _ = g.Wait() }, known: map[string]string{}}
-	in.Follower = watch.New(watch.Config{Start: name + "#1", DataCentre: dataCentre, Address: name, Cores: cores, Store: reached{s.store, name}, Dial: s.dial,
-		Tables:  []watch.TableConfig{{Name: "t", Prefixes: []string{"t//"}, Wait: 50 * time.Millisecond}},
-		Crowded: func() bool { return true },
-		Live:    func(start string) (bool, bool) { return s.isThere(strings.TrimSuffix(start, "#1")), true },
-		Tell:    func(_ context.Context, u feed.Update) { in.learn(u) },
-		Group:   func(f func() error) { g.Go(f) },
-		Draw:    rand.Float64})
+	in.Follower = watch.New(watch.Config{StartID: name + "#1", DataCentre: dataCentre, Address: name, Cores: cores, Store: reached{s.store, name}, Dial: s.dial,
+		Tables:    []watch.TableConfig{{Name: "t", Prefixes: []string{"t//"}, Wait: 50 * time.Millisecond}},
+		UseRelays: func() bool { return true },
+		Live:      func(start string) (bool, bool) { return s.isThere(strings.TrimSuffix(start, "#1")), true },
+		OnUpdate:  func(_ context.Context, u feed.Update) { in.learn(u) },
+		Go:        func(f func() error) { g.Go(f) },
+		Rand:      rand.Float64})
 	s.mu.Lock()
 	s.instances[name] = in
 	s.mu.Unlock()
@@ -238,12 +238,12 @@
 
 func (l *link) Close() { l.cancel() }
 
-func (l *link) Watch(tables []peer.WatchedTable) (watch.Session, error) {
+func (l *link) Watch(tables []peer.WatchedTable) (watch.Stream, error) {
 	ctx, cancel := context.WithCancel(l.ctx)
-	w := &session{link: l, cancel: cancel, news: make(chan peer.News, 100)}
+	w := &session{link: l, cancel: cancel, news: make(chan peer.WatchUpdate, 100)}
 	go func() { // ends with the link
 		defer close(w.news)
-		_ = l.to.Watch(ctx, tables, func(n peer.News) error {
+		_ = l.to.Watch(ctx, tables, func(n peer.WatchUpdate) error {
 			if !l.site.isThere(l.to.name) {
 				return errRefused
 			}
@@ -259,20 +259,20 @@
 type session struct {
 	link   *link
 	cancel context.CancelFunc
-	news   chan peer.News
+	news   chan peer.WatchUpdate
 }
 
-func (s *session) Next(within time.Duration) (peer.News, error) {
+func (s *session) Next(within time.Duration) (peer.WatchUpdate, error) {
 	select {
 	case n, ok := <-s.news:
 		if !ok {
-			return peer.News{}, errors.New("ended")
+			return peer.WatchUpdate{}, errors.New("ended")
 		}
 		return n, nil
 	case <-time.After(within):
-		return peer.News{}, errors.New("silent")
+		return peer.WatchUpdate{}, errors.New("silent")
 	case <-s.link.ctx.Done():
-		return peer.News{}, errors.New("closed")
+		return peer.WatchUpdate{}, errors.New("closed")
 	}
 }
 
@@ -480,7 +480,7 @@
 func TestRelayStops(t *testing.T) {
 	s := settled(t, 8)
 	in := s.by(watch.AsRelay)[0]
-	if err := in.Leave(context.Background()); err != nil {
+	if err := in.DisableRelaying(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	s.eventually(400*time.Millisecond, "nobody follows it", func() bool { return in.Watchers() == 0 })
--- a/pkg/watchcache/watchcache.go
+++ b/pkg/watchcache/watchcache.go
@@ -24,8 +24,8 @@
 	// Digest returns the same number for rows of one key that tell the same, or 0 for
 	// a row that tells something new; nil for always 0.
 	Digest func(platform.Row) uint64
-	// Changed is told when there is more to tell; nil for nobody.
-	Changed func()
+	// OnChange is told when there is more to tell; nil for nobody.
+	OnChange func()
 }
 
 // Cache is one table. It is safe for concurrent use.
@@ -76,7 +76,7 @@
 
 // New returns an empty Cache.
 func New(cfg Config) *Cache {
-	c := &Cache{digest: cfg.Digest, news: cfg.Changed, rows: map[string]*change{}}
+	c := &Cache{digest: cfg.Digest, news: cfg.OnChange, rows: map[string]*change{}}
 	if c.digest == nil {
 		c.digest = func(platform.Row) uint64 { return 0 }
 	}
@@ -94,14 +94,14 @@
 	Changes []platform.Change
 	// More means that there is more to tell from Version on.
 	More bool
-	// Read means that the table has been read.
-	Read bool
+	// Loaded means that the table has been read.
+	Loaded bool
 	// Version is the one to ask from next.
 	Version uint64
 	// ReadAt is when the store was last asked with success.
 	ReadAt time.Time
-	// Lost means that the store could not be asked since.
-	Lost bool
+	// Unavailable means that the store could not be asked since.
+	Unavailable bool
 }
 
 // Apply takes what a feed has learned of the table.
@@ -353,7 +353,7 @@
 }
 
 func (c *Cache) state() Delta {
-	return Delta{Read: c.read, Version: c.version, ReadAt: c.readAt, Lost: c.lost}
+	return Delta{Loaded: c.read, Version: c.version, ReadAt: c.readAt, Unavailable: c.lost}
 }
 
 // State is Since without the changes.
@@ -363,8 +363,8 @@
 	return c.state()
 }
 
-// Rows returns how many rows there are.
-func (c *Cache) Rows() int {
+// Len returns how many rows there are.
+func (c *Cache) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.rows) - c.deleted
--- a/pkg/watchcache/watchcache_test.go
+++ b/pkg/watchcache/watchcache_test.go
@@ -81,7 +81,7 @@
 // takeOnce reports whether there is more.
 func (f *follower) takeOnce(c *watchcache.Cache) bool {
 	d := c.Since(f.version)
-	if !d.Read || d.Version < f.version {
+	if !d.Loaded || d.Version < f.version {
 		return false // the cache is behind
 	}
 	if d.Reset {
@@ -148,7 +148,7 @@
 // Rows that tell nothing new are not told, and wake nobody.
 func TestHeartbeatsAreNotTold(t *testing.T) {
 	woken := 0
-	c := watchcache.New(watchcache.Config{Digest: digest, Changed: func() { woken++ }})
+	c := watchcache.New(watchcache.Config{Digest: digest, OnChange: func() { woken++ }})
 	s := &store{rows: map[string]platform.Row{}, version: 1}
 	s.put("a", "x")
 	fed := s.feedTo(c, 0, true)
@@ -173,16 +173,16 @@
 // A cache that cannot ask the store says so once, and once when it can again.
 func TestLostStoreIsTold(t *testing.T) {
 	woken := 0
-	c := watchcache.New(watchcache.Config{Changed: func() { woken++ }})
+	c := watchcache.New(watchcache.Config{OnChange: func() { woken++ }})
 	c.Apply(feed.Update{At: time.Now(), Version: 3, Reset: true})
 	for range 3 {
 		c.Apply(feed.Update{Err: errors.New("away")})
 	}
-	if !c.State().Lost || woken != 2 {
+	if !c.State().Unavailable || woken != 2 {
 		t.Fatalf("%+v, woken %d times", c.State(), woken)
 	}
 	c.Apply(feed.Update{At: time.Now(), Version: 4})
-	if c.State().Lost || woken != 3 {
+	if c.State().Unavailable || woken != 3 {
 		t.Fatalf("%+v, woken %d times", c.State(), woken)
 	}
 }
@@ -216,8 +216,8 @@
 	first := c.Since(0)
 	c.Replace([]platform.Row{row("a", "x"), row("b", "y")}, time.Now())
 	d := c.Since(first.Version)
-	if d.Reset || len(d.Changes) != 2 || c.Rows() != 2 {
-		t.Fatalf("%+v of %d rows", d, c.Rows())
+	if d.Reset || len(d.Changes) != 2 || c.Len() != 2 {
+		t.Fatalf("%+v of %d rows", d, c.Len())
 	}
 	c.Replace([]platform.Row{row("a", "x"), row("b", "y")}, time.Now())
 	if again := c.Since(d.Version); len(again.Changes) != 0 {
--- a/pkg/weights/demand.go
+++ b/pkg/weights/demand.go
@@ -9,8 +9,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/upstream"
 )
 
-// ModelOrder is an order to an engine to load a version of a model.
-type ModelOrder struct {
+// LoadOrder is an order to an engine to load a version of a model.
+type LoadOrder struct {
 	Model   string
 	Version uint64
 	Holder  string // the instance that gives it
@@ -42,31 +42,31 @@
 	Versions map[string]uint64
 }
 
-// Orderer gives orders to engines.
-type Orderer interface {
+// OrderClient gives orders to engines.
+type OrderClient interface {
 	Report(ctx context.Context, from upstream.Entry) (EngineReport, error)
-	Order(ctx context.Context, to upstream.Entry, o ModelOrder) (OrderOutcome, error)
+	Order(ctx context.Context, to upstream.Entry, o LoadOrder) (OrderOutcome, error)
 }
 
 // Demand is what is asked of one model.
 type Demand struct {
-	Model string
-	Named uint64 // newest version
-	Lag   uint64 // how many versions behind it requests accept
-	Work  float64
+	Model         string
+	TargetVersion uint64 // newest version
+	MaxLag        uint64 // how many versions behind it requests accept
+	Work          float64
 	// Busy means that requests of the model are under way or wait.
 	Busy bool
-	// Items is how many texts may be under way at once; 0 if not known.
-	Items int
-	// Most is how many engines these can use; 0 if not known.
-	Most int
+	// MaxItems is how many texts may be under way at once; 0 if not known.
+	MaxItems int
+	// MaxEngines is how many engines these can use; 0 if not known.
+	MaxEngines int
 }
 
 // minEngines is how many engines a model has at least, where there are enough,
 // so that one may crash.
 const minEngines = 2
 
-// Partition deals the engines to the models by their work, each engine to one
+// AssignEngines deals the engines to the models by their work, each engine to one
 // model, so that an engine loads new versions of one model only and the loads of
 // one model take nothing away from another. Engines are dealt in order of their
 // IDs, so that one that comes or goes moves few others. Where there are far more than
@@ -75,7 +75,7 @@
 // those that its next step needs wait for their turn; and its work varies from step to
 // step, by a part that is many engines of hundreds. What it returns may share memory
 // with engines.
-func Partition(engines []string, demands []Demand) map[string][]string {
+func AssignEngines(engines []string, demands []Demand) map[string][]string {
 	ids := engines
 	if !slices.IsSorted(ids) {
 		ids = slices.Sorted(slices.Values(engines))
@@ -113,23 +113,23 @@
 func dealByNeed(ids []string, demands []Demand) (map[string][]string, bool) {
 	need := 0
 	for _, d := range demands {
-		if d.Most <= 0 {
+		if d.MaxEngines <= 0 {
 			return nil, false
 		}
-		need += max(d.Most, minEngines)
+		need += max(d.MaxEngines, minEngines)
 	}
 	if need == 0 || plenty*float64(need) > float64(len(ids)) {
 		return nil, false
 	}
 	out := make(map[string][]string, len(demands))
 	for _, d := range demands {
-		n := max(d.Most, minEngines)
+		n := max(d.MaxEngines, minEngines)
 		out[d.Model], ids = ids[:n], ids[n:]
 	}
 	return out, true
 }
 
-// Due returns the engines to move to the version named, of those given with the
+// EnginesToLoad returns the engines to move to the version named, of those given with the
 // versions that they hold, the most urgent first. Engines that are too old for
 // requests to come are moved at once: they serve nothing as they are. The others
 // still serve, and are moved while the model is idle, at most spare of them, so
@@ -140,7 +140,7 @@
 // half, and serve while those load; were all of one version they would all load at
 // once, every second step, for which the step waited 0.9 to 1.9 s. So engines are
 // moved while they serve if fewer than half would hold the version named.
-func Due(held map[string]uint64, d Demand, spare int) []string {
+func EnginesToLoad(held map[string]uint64, d Demand, spare int) []string {
 	ids := make([]string, 0, len(held))
 	for id := range held {
 		ids = append(ids, id)
@@ -150,34 +150,34 @@
 	})
 	ahead := len(ids) / 2 // to hold the version named
 	for _, v := range held {
-		if v >= d.Named {
+		if v >= d.TargetVersion {
 			ahead--
 		}
 	}
 	var out []string
 	for _, id := range ids {
 		switch v := held[id]; {
-		case v >= d.Named:
-		case v+d.Lag < d.Named, len(out) < ahead, !d.Busy && len(out) < spare:
+		case v >= d.TargetVersion:
+		case v+d.MaxLag < d.TargetVersion, len(out) < ahead, !d.Busy && len(out) < spare:
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// ByNeed returns the demands for models of which a version is named, those first of
+// SortByUrgency returns the demands for models of which a version is named, those first of
 // which the fewest engines, of those that held returns, hold a version that requests
 // accept: few engines load at once, and a step that none serves waits for the first.
-func ByNeed(demands []Demand, held func(Demand) map[string]uint64) []Demand {
+func SortByUrgency(demands []Demand, held func(Demand) map[string]uint64) []Demand {
 	usable := make(map[string]int, len(demands))
 	var out []Demand
 	for _, d := range demands {
-		if d.Named == 0 {
+		if d.TargetVersion == 0 {
 			continue
 		}
 		out = append(out, d)
 		for _, v := range held(d) {
-			if v+d.Lag >= d.Named {
+			if v+d.MaxLag >= d.TargetVersion {
 				usable[d.Model]++
 			}
 		}
--- a/pkg/weights/demand_test.go
+++ b/pkg/weights/demand_test.go
@@ -22,7 +22,7 @@
 		for i := range rapid.IntRange(1, 5).Draw(t, "models") {
 			ds = append(ds, weights.Demand{Model: fmt.Sprintf("m%d", i), Work: rapid.Float64Range(1, 1000).Draw(t, "work")})
 		}
-		parts := weights.Partition(ids, ds)
+		parts := weights.AssignEngines(ids, ds)
 		if len(ids) < 2*len(ds) {
 			for _, d := range ds {
 				if len(parts[d.Model]) != len(ids) {
@@ -46,7 +46,7 @@
 			return
 		}
 		gone := rapid.SampledFrom(ids).Draw(t, "gone")
-		after := weights.Partition(slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return id == gone }), ds)
+		after := weights.AssignEngines(slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return id == gone }), ds)
 		moved := 0
 		for _, d := range ds {
 			for _, id := range after[d.Model] {
@@ -75,18 +75,18 @@
 			for i := range ds {
 				ds[i].Work = rapid.Float64Range(500, 1500).Draw(t, "work")
 			}
-			return weights.Partition(ids, ds)
+			return weights.AssignEngines(ids, ds)
 		}
 		for i := range ds {
-			ds[i].Model, ds[i].Most = fmt.Sprintf("m%d", i), rapid.IntRange(1, 43).Draw(t, "most")
+			ds[i].Model, ds[i].MaxEngines = fmt.Sprintf("m%d", i), rapid.IntRange(1, 43).Draw(t, "most")
 		}
 		before := deal()
 		ids = slices.Delete(ids, 5, 6)
 		after := deal()
 		seen := map[string]bool{}
 		for _, d := range ds {
-			if n := len(after[d.Model]); n != max(d.Most, 2) {
-				t.Fatalf("%s is dealt %d engines and can use %d", d.Model, n, d.Most)
+			if n := len(after[d.Model]); n != max(d.MaxEngines, 2) {
+				t.Fatalf("%s is dealt %d engines and can use %d", d.Model, n, d.MaxEngines)
 			}
 			moved := 0
 			for _, id := range after[d.Model] {
@@ -116,7 +116,7 @@
 	}
 	moves := 0
 	for named := uint64(2); named < 20; named++ {
-		d := weights.Demand{Model: "m", Named: named, Lag: 1, Busy: true}
+		d := weights.Demand{Model: "m", TargetVersion: named, MaxLag: 1, Busy: true}
 		usable := 0
 		for _, v := range held {
 			if v+1 >= named {
@@ -126,12 +126,12 @@
 		if named > 3 && usable < 2 {
 			t.Fatalf("%d of 8 engines are new enough as version %d is named", usable, named)
 		}
-		for _, id := range weights.Due(held, d, 4) {
+		for _, id := range weights.EnginesToLoad(held, d, 4) {
 			held[id] = named
 			moves++
 		}
 		d.Busy = false
-		for i, id := range weights.Due(held, d, 4) {
+		for i, id := range weights.EnginesToLoad(held, d, 4) {
 			if i < 2 { // as many as load in a pause
 				held[id] = named
 				moves++
@@ -151,7 +151,7 @@
 // Without a lag every engine is moved at once.
 func TestDueWithoutLag(t *testing.T) {
 	held := map[string]uint64{"a": 1, "b": 2, "c": 3}
-	if got := weights.Due(held, weights.Demand{Named: 3, Busy: true}, 0); !slices.Equal(got, []string{"a", "b"}) {
+	if got := weights.EnginesToLoad(held, weights.Demand{TargetVersion: 3, Busy: true}, 0); !slices.Equal(got, []string{"a", "b"}) {
 		t.Fatal(got)
 	}
 }
@@ -178,7 +178,7 @@
 			if usable < engines/2 {
 				t.Fatalf("%d of %d engines are new enough as version %d is named", usable, engines, named)
 			}
-			for _, id := range weights.Due(held, weights.Demand{Model: "m", Named: named, Lag: 1, Busy: true}, 0) {
+			for _, id := range weights.EnginesToLoad(held, weights.Demand{Model: "m", TargetVersion: named, MaxLag: 1, Busy: true}, 0) {
 				held[id] = named
 				moves++
 			}
@@ -193,9 +193,9 @@
 // comes first, and one of which no version is named does not load.
 func TestByNeed(t *testing.T) {
 	held := map[string]map[string]uint64{"a": {"i1": 4, "i2": 3}, "b": {"i3": 2, "i4": 2}, "c": {"i5": 4, "i6": 4}, "d": {"i7": 1}}
-	demands := []weights.Demand{{Model: "a", Named: 5, Lag: 1}, {Model: "b", Named: 5, Lag: 1}, {Model: "c", Named: 5, Lag: 1}, {Model: "d"}}
+	demands := []weights.Demand{{Model: "a", TargetVersion: 5, MaxLag: 1}, {Model: "b", TargetVersion: 5, MaxLag: 1}, {Model: "c", TargetVersion: 5, MaxLag: 1}, {Model: "d"}}
 	var got []string
-	for _, d := range weights.ByNeed(demands, func(d weights.Demand) map[string]uint64 { return held[d.Model] }) {
+	for _, d := range weights.SortByUrgency(demands, func(d weights.Demand) map[string]uint64 { return held[d.Model] }) {
 		got = append(got, d.Model)
 	}
 	if !slices.Equal(got, []string{"b", "a", "c"}) {
--- a/pkg/weights/rollout.go
+++ b/pkg/weights/rollout.go
@@ -30,11 +30,11 @@
 
 // Engine is what a Rollout knows of one engine.
 type Engine struct {
-	Version     uint64    // as last reported or ordered; 0 if not known
-	Loading     bool      // the engine says it is loading
-	OrderEndsAt time.Time // an order is outstanding until then; zero if none
-	RetryAt     time.Time // not ordered again before then
-	TrustAt     time.Time // load reports are believed again from then
+	Version            uint64    // as last reported or ordered; 0 if not known
+	Loading            bool      // the engine says it is loading
+	OrderDeadline      time.Time // an order is outstanding until then; zero if none
+	RetryAt            time.Time // not ordered again before then
+	IgnoreReportsUntil time.Time // load reports are believed again from then
 }
 
 // Rollout is the state of one pool's rollout at the instance that holds its
@@ -43,9 +43,9 @@
 	Config  Config
 	Target  uint64 // version to load; 0 while none is named
 	Fencing uint64 // fencing number of the lease held; 0 if none is
-	// HeldUntil is when the lease lapses by this process's clock.
-	HeldUntil time.Time
-	Engines   map[string]Engine
+	// LeaseExpiresAt is when the lease lapses by this process's clock.
+	LeaseExpiresAt time.Time
+	Engines        map[string]Engine
 }
 
 // Event is something a Rollout is told.
@@ -54,31 +54,31 @@
 type (
 	// Tick tells the time.
 	Tick struct{ At time.Time }
-	// Named tells the version named for the pool.
-	Named struct{ Version uint64 }
-	// Pool tells the addresses of the engines that may be ordered.
-	Pool struct{ Addresses []string }
-	// Held tells that the pool's lease is held until Until under Fencing.
-	Held struct {
+	// TargetChanged tells the version named for the pool.
+	TargetChanged struct{ Version uint64 }
+	// EnginesChanged tells the addresses of the engines that may be ordered.
+	EnginesChanged struct{ Addresses []string }
+	// LeaseHeld tells that the pool's lease is held until Until under Fencing.
+	LeaseHeld struct {
 		Fencing uint64
 		Until   time.Time
 	}
-	// Lost tells that the lease is not held.
-	Lost struct{}
-	// Reported tells an engine's load report.
-	Reported struct {
+	// LeaseLost tells that the lease is not held.
+	LeaseLost struct{}
+	// LoadReported tells an engine's load report.
+	LoadReported struct {
 		Address string
 		Report  engine.LoadReport
 		At      time.Time
 	}
-	// Versions tells the versions that engines hold, by address.
-	Versions struct {
-		Held map[string]uint64
-		At   time.Time
+	// VersionsReported tells the versions that engines hold, by address.
+	VersionsReported struct {
+		ByAddress map[string]uint64
+		At        time.Time
 	}
-	// Ordered tells how an order ended: Err is nil if the engine loaded
+	// OrderEnded tells how an order ended: Err is nil if the engine loaded
 	// Version.
-	Ordered struct {
+	OrderEnded struct {
 		Address string
 		Version uint64
 		Err     error
@@ -86,14 +86,14 @@
 	}
 )
 
-func (Tick) isRolloutEvent()     {}
-func (Named) isRolloutEvent()    {}
-func (Pool) isRolloutEvent()     {}
-func (Held) isRolloutEvent()     {}
-func (Lost) isRolloutEvent()     {}
-func (Reported) isRolloutEvent() {}
-func (Versions) isRolloutEvent() {}
-func (Ordered) isRolloutEvent()  {}
+func (Tick) isRolloutEvent()             {}
+func (TargetChanged) isRolloutEvent()    {}
+func (EnginesChanged) isRolloutEvent()   {}
+func (LeaseHeld) isRolloutEvent()        {}
+func (LeaseLost) isRolloutEvent()        {}
+func (LoadReported) isRolloutEvent()     {}
+func (VersionsReported) isRolloutEvent() {}
+func (OrderEnded) isRolloutEvent()       {}
 
 // Order is an effect: order the engine at Address to load Version. It must
 // not be sent at or after NotAfter, when the lease may have passed on.
@@ -109,19 +109,19 @@
 	switch e := ev.(type) {
 	case Tick:
 		return r.onTick(e.At)
-	case Named:
+	case TargetChanged:
 		r.Target = max(r.Target, e.Version)
-	case Pool:
+	case EnginesChanged:
 		r.Engines = keep(r.Engines, e.Addresses)
-	case Held:
-		r.Fencing, r.HeldUntil = e.Fencing, e.Until
-	case Lost:
-		r.Fencing, r.HeldUntil = 0, time.Time{}
-	case Reported:
+	case LeaseHeld:
+		r.Fencing, r.LeaseExpiresAt = e.Fencing, e.Until
+	case LeaseLost:
+		r.Fencing, r.LeaseExpiresAt = 0, time.Time{}
+	case LoadReported:
 		r = r.onReported(e)
-	case Versions:
+	case VersionsReported:
 		r = r.onVersions(e)
-	case Ordered:
+	case OrderEnded:
 		r = r.onOrdered(e)
 	}
 	return r, nil
@@ -130,7 +130,7 @@
 // Converged reports whether every engine is known to hold the target.
 func (r Rollout) Converged() bool {
 	for _, e := range r.Engines {
-		if e.Version != r.Target || !e.OrderEndsAt.IsZero() {
+		if e.Version != r.Target || !e.OrderDeadline.IsZero() {
 			return false
 		}
 	}
@@ -140,16 +140,16 @@
 // Idle reports whether no order is outstanding.
 func (r Rollout) Idle() bool {
 	for _, e := range r.Engines {
-		if !e.OrderEndsAt.IsZero() {
+		if !e.OrderDeadline.IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-// Behind returns the addresses of the engines not known to hold the target,
+// Outdated returns the addresses of the engines not known to hold the target,
 // the oldest version first.
-func (r Rollout) Behind() []string {
+func (r Rollout) Outdated() []string {
 	var out []string
 	for a, e := range r.Engines {
 		if e.Version != r.Target {
@@ -167,24 +167,24 @@
 
 func (r Rollout) onTick(now time.Time) (Rollout, []Order) {
 	r = r.expire(now)
-	if r.Target == 0 || r.Fencing == 0 || !now.Add(r.Config.SendMargin).Before(r.HeldUntil) {
+	if r.Target == 0 || r.Fencing == 0 || !now.Add(r.Config.SendMargin).Before(r.LeaseExpiresAt) {
 		return r, nil
 	}
 	free := r.Config.MaxLoading - r.loading()
 	var orders []Order
 	ordered := maps.Clone(r.Engines)
-	for _, addr := range r.Behind() {
+	for _, addr := range r.Outdated() {
 		if free <= 0 {
 			break
 		}
 		e := r.Engines[addr]
-		if e.Loading || !e.OrderEndsAt.IsZero() || now.Before(e.RetryAt) {
+		if e.Loading || !e.OrderDeadline.IsZero() || now.Before(e.RetryAt) {
 			continue
 		}
-		e.OrderEndsAt = now.Add(r.Config.OrderTimeout)
+		e.OrderDeadline = now.Add(r.Config.OrderTimeout)
 		ordered[addr] = e
 		free--
-		orders = append(orders, Order{Address: addr, Version: r.Target, Fencing: r.Fencing, NotAfter: r.HeldUntil.Add(-r.Config.SendMargin / 2)})
+		orders = append(orders, Order{Address: addr, Version: r.Target, Fencing: r.Fencing, NotAfter: r.LeaseExpiresAt.Add(-r.Config.SendMargin / 2)})
 	}
 	r.Engines = ordered
 	return r, orders
@@ -194,8 +194,8 @@
 // until the engine reports.
 func (r Rollout) expire(now time.Time) Rollout {
 	for addr, e := range r.Engines {
-		if !e.OrderEndsAt.IsZero() && now.After(e.OrderEndsAt) {
-			e.OrderEndsAt, e.RetryAt = time.Time{}, now.Add(r.Config.RetryDelay)
+		if !e.OrderDeadline.IsZero() && now.After(e.OrderDeadline) {
+			e.OrderDeadline, e.RetryAt = time.Time{}, now.Add(r.Config.RetryDelay)
 			r = r.with(addr, e)
 		}
 	}
@@ -206,16 +206,16 @@
 func (r Rollout) loading() int {
 	n := 0
 	for _, e := range r.Engines {
-		if e.Loading || !e.OrderEndsAt.IsZero() {
+		if e.Loading || !e.OrderDeadline.IsZero() {
 			n++
 		}
 	}
 	return n
 }
 
-func (r Rollout) onReported(ev Reported) Rollout {
+func (r Rollout) onReported(ev LoadReported) Rollout {
 	e, ok := r.Engines[ev.Address]
-	if !ok || ev.At.Before(e.TrustAt) {
+	if !ok || ev.At.Before(e.IgnoreReportsUntil) {
 		return r
 	}
 	if e.Version == ev.Report.WeightVersion && e.Loading == ev.Report.Loading {
@@ -227,11 +227,11 @@
 
 // onVersions takes the versions of many engines at once: one copy of the engines
 // for a whole pool, where a copy for each engine took the square of their number.
-func (r Rollout) onVersions(ev Versions) Rollout {
+func (r Rollout) onVersions(ev VersionsReported) Rollout {
 	engines := maps.Clone(r.Engines)
-	for addr, v := range ev.Held {
+	for addr, v := range ev.ByAddress {
 		e, ok := engines[addr]
-		if !ok || ev.At.Before(e.TrustAt) {
+		if !ok || ev.At.Before(e.IgnoreReportsUntil) {
 			continue
 		}
 		e.Version, e.Loading = v, false
@@ -241,18 +241,18 @@
 	return r
 }
 
-func (r Rollout) onOrdered(ev Ordered) Rollout {
+func (r Rollout) onOrdered(ev OrderEnded) Rollout {
 	e, ok := r.Engines[ev.Address]
 	if !ok {
 		return r
 	}
-	e.OrderEndsAt = time.Time{}
+	e.OrderDeadline = time.Time{}
 	switch {
 	case ev.Err == nil:
-		e.Version, e.Loading, e.TrustAt = ev.Version, false, ev.At.Add(r.Config.ReportLag)
+		e.Version, e.Loading, e.IgnoreReportsUntil = ev.Version, false, ev.At.Add(r.Config.ReportLag)
 	case errors.Is(ev.Err, engine.ErrStaleFencing):
 		// A later holder has ordered this engine: the lease is gone.
-		r.Fencing, r.HeldUntil = 0, time.Time{}
+		r.Fencing, r.LeaseExpiresAt = 0, time.Time{}
 		e.RetryAt = ev.At.Add(r.Config.RetryDelay)
 	default:
 		e.RetryAt = ev.At.Add(r.Config.RetryDelay)
--- a/pkg/weights/rollout_test.go
+++ b/pkg/weights/rollout_test.go
@@ -71,7 +71,7 @@
 	}
 	for i := range w.holders {
 		w.holders[i].Config = config
-		w.holders[i], _ = w.holders[i].Reduce(weights.Pool{Addresses: slices.Sorted(maps.Keys(w.engines))})
+		w.holders[i], _ = w.holders[i].Reduce(weights.EnginesChanged{Addresses: slices.Sorted(maps.Keys(w.engines))})
 	}
 	return w
 }
@@ -80,12 +80,12 @@
 // number, as a lease.Keeper does.
 func (w *world) lead(h int) {
 	if w.owner != h && w.owner >= 0 && w.now.Before(w.until) {
-		w.holders[h], _ = w.holders[h].Reduce(weights.Lost{})
+		w.holders[h], _ = w.holders[h].Reduce(weights.LeaseLost{})
 		return
 	}
 	w.fencing++
 	w.owner, w.until = h, w.now.Add(leaseTTL)
-	w.holders[h], _ = w.holders[h].Reduce(weights.Held{Fencing: w.fencing, Until: w.until})
+	w.holders[h], _ = w.holders[h].Reduce(weights.LeaseHeld{Fencing: w.fencing, Until: w.until})
 }
 
 // advance moves time on by one step: orders arrive, holders that are not
@@ -102,9 +102,9 @@
 		}
 		for _, a := range slices.Sorted(maps.Keys(w.engines)) {
 			rep := engine.LoadReport{WeightVersion: w.engines[a].version, ChecksFencing: w.engines[a].checks}
-			w.holders[h], _ = w.holders[h].Reduce(weights.Reported{Address: a, Report: rep, At: w.now})
+			w.holders[h], _ = w.holders[h].Reduce(weights.LoadReported{Address: a, Report: rep, At: w.now})
 		}
-		w.holders[h], _ = w.holders[h].Reduce(weights.Named{Version: w.target})
+		w.holders[h], _ = w.holders[h].Reduce(weights.TargetChanged{Version: w.target})
 		var orders []weights.Order
 		w.holders[h], orders = w.holders[h].Reduce(weights.Tick{At: w.now})
 		w.send(t, h, orders)
@@ -117,7 +117,7 @@
 func outstanding(r weights.Rollout) int {
 	n := 0
 	for _, e := range r.Engines {
-		if !e.OrderEndsAt.IsZero() {
+		if !e.OrderDeadline.IsZero() {
 			n++
 		}
 	}
@@ -147,7 +147,7 @@
 		}
 		err := w.engines[s.order.Address].obey(s.order)
 		if !s.lost {
-			w.holders[s.holder], _ = w.holders[s.holder].Reduce(weights.Ordered{Address: s.order.Address,
+			w.holders[s.holder], _ = w.holders[s.holder].Reduce(weights.OrderEnded{Address: s.order.Address,
 				Version: s.order.Version, Err: err, At: w.now})
 		}
 	}
@@ -201,20 +201,20 @@
 func TestStaleFencingEndsOrders(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	r := weights.Rollout{Config: config}
-	r, _ = r.Reduce(weights.Pool{Addresses: []string{"a", "b", "c"}})
-	r, _ = r.Reduce(weights.Named{Version: 2})
-	r, _ = r.Reduce(weights.Held{Fencing: 7, Until: now.Add(leaseTTL)})
+	r, _ = r.Reduce(weights.EnginesChanged{Addresses: []string{"a", "b", "c"}})
+	r, _ = r.Reduce(weights.TargetChanged{Version: 2})
+	r, _ = r.Reduce(weights.LeaseHeld{Fencing: 7, Until: now.Add(leaseTTL)})
 	r, orders := r.Reduce(weights.Tick{At: now})
 	if len(orders) != config.MaxLoading {
 		t.Fatalf("%d orders at once, want the budget of %d", len(orders), config.MaxLoading)
 	}
 	refused := fmt.Errorf("order: %w", engine.ErrStaleFencing)
-	r, _ = r.Reduce(weights.Ordered{Address: orders[0].Address, Version: 2, Err: refused, At: now})
-	r, _ = r.Reduce(weights.Ordered{Address: orders[1].Address, Version: 2, Err: errors.New("swap failed"), At: now})
+	r, _ = r.Reduce(weights.OrderEnded{Address: orders[0].Address, Version: 2, Err: refused, At: now})
+	r, _ = r.Reduce(weights.OrderEnded{Address: orders[1].Address, Version: 2, Err: errors.New("swap failed"), At: now})
 	if _, orders = r.Reduce(weights.Tick{At: now.Add(time.Second)}); len(orders) != 0 {
 		t.Fatalf("orders %+v sent after a refusal for fencing", orders)
 	}
-	r, _ = r.Reduce(weights.Held{Fencing: 9, Until: now.Add(2 * leaseTTL)})
+	r, _ = r.Reduce(weights.LeaseHeld{Fencing: 9, Until: now.Add(2 * leaseTTL)})
 	if _, orders = r.Reduce(weights.Tick{At: now.Add(time.Second)}); len(orders) != config.MaxLoading || orders[0].Fencing != 9 {
 		t.Fatalf("orders %+v under the new lease, want %d with fencing 9", orders, config.MaxLoading)
 	}
--- a/pkg/weights/target.go
+++ b/pkg/weights/target.go
@@ -25,14 +25,14 @@
 	Pool    string    `json:"pool"`
 	Version uint64    `json:"version"`
 	Author  string    `json:"author"`
-	NamedAt time.Time `json:"named_at"`
+	SetAt   time.Time `json:"named_at"`
 }
 
-// ErrOlder is returned by Name for a version older than the one in force.
-var ErrOlder = errors.New("weights: a newer version is named already")
+// ErrOlderVersion is returned by Name for a version older than the one in force.
+var ErrOlderVersion = errors.New("weights: a newer version is named already")
 
-// Decode reads a Target from its row.
-func Decode(row platform.Row) (Target, error) {
+// DecodeTarget reads a Target from its row.
+func DecodeTarget(row platform.Row) (Target, error) {
 	var t Target
 	if err := json.Unmarshal(row.Value, &t); err != nil {
 		return Target{}, fmt.Errorf("weights: row %s: %w", row.Key, err)
@@ -44,11 +44,11 @@
 // replies.
 const nameTries = 5
 
-// Name makes t the target of its pool, with its audit record, whose
+// SetTarget makes t the target of its pool, with its audit record, whose
 // generation is the version. Naming the version in force again changes
-// nothing, so a caller may repeat Name after a lost reply; an older version is
+// nothing, so a caller may repeat SetTarget after a lost reply; an older version is
 // ErrOlder.
-func Name(ctx context.Context, c *platform.Client, t Target) error {
+func SetTarget(ctx context.Context, c *platform.Client, t Target) error {
 	var last error
 	var unsure []platform.Op // audit records of tries that may have written t
 	for range nameTries {
@@ -57,7 +57,7 @@
 			return err
 		}
 		if err == nil {
-			cur, err := Decode(row)
+			cur, err := DecodeTarget(row)
 			if err != nil {
 				return err
 			}
@@ -84,11 +84,11 @@
 // before, and else ErrOlder.
 func older(ctx context.Context, c *platform.Client, cur, t Target, unsure []platform.Op) error {
 	for _, audit := range unsure {
-		if ok, err := catalogue.Audited(ctx, c, audit); ok || err != nil {
+		if ok, err := catalogue.AuditRecorded(ctx, c, audit); ok || err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("%w: pool %s is at %d, not %d", ErrOlder, t.Pool, cur.Version, t.Version)
+	return fmt.Errorf("%w: pool %s is at %d, not %d", ErrOlderVersion, t.Pool, cur.Version, t.Version)
 }
 
 // replace writes t over row, the target of its pool as last read, together
@@ -99,11 +99,11 @@
 	if err != nil {
 		return platform.Op{}, err
 	}
-	audit, err = catalogue.AuditOp(catalogue.Change{Key: key, Generation: t.Version, Author: t.Author, At: t.NamedAt,
+	audit, err = catalogue.AuditOp(catalogue.Change{Key: key, Generation: t.Version, Author: t.Author, At: t.SetAt,
 		Before: string(row.Value), After: string(put.Value)})
 	if err != nil {
 		return platform.Op{}, err
 	}
-	_, err = catalogue.CommitRevised(ctx, c, key, put, audit)
+	_, err = catalogue.CommitWithRevision(ctx, c, key, put, audit)
 	return audit, err
 }
--- a/pkg/weights/target_test.go
+++ b/pkg/weights/target_test.go
@@ -40,7 +40,7 @@
 			var g errgroup.Group
 			for i, v := range versions {
 				g.Go(func() error {
-					errs[i] = weights.Name(ctx, client, weights.Target{Pool: pool, Version: v, Author: author(i), NamedAt: time.Unix(int64(v), 0)})
+					errs[i] = weights.SetTarget(ctx, client, weights.Target{Pool: pool, Version: v, Author: author(i), SetAt: time.Unix(int64(v), 0)})
 					return nil
 				})
 			}
@@ -49,7 +49,7 @@
 				switch {
 				case errs[i] == nil:
 					confirmed[v] = true
-				case errors.Is(errs[i], weights.ErrOlder):
+				case errors.Is(errs[i], weights.ErrOlderVersion):
 					refused[author(i)] = true
 				case !errors.Is(errs[i], platform.ErrUnavailable):
 					t.Fatalf("version %d: %v", v, errs[i])
@@ -61,7 +61,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		target, err := weights.Decode(row)
+		target, err := weights.DecodeTarget(row)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -112,7 +112,7 @@
 	defer hs.Close()
 	ctx := context.Background()
 	name := func(hc *http.Client, version uint64, author string) error {
-		return weights.Name(ctx, platform.NewClient(hs.URL, hc), weights.Target{Pool: "assistant-pool", Version: version, Author: author, NamedAt: time.Unix(1, 0)})
+		return weights.SetTarget(ctx, platform.NewClient(hs.URL, hc), weights.Target{Pool: "assistant-pool", Version: version, Author: author, SetAt: time.Unix(1, 0)})
 	}
 	lossy := &http.Client{Transport: &lostReply{meanwhile: func() {
 		if err := name(nil, 7, "second"); err != nil {
@@ -122,7 +122,7 @@
 	if err := name(lossy, 5, "first"); err != nil {
 		t.Fatalf("version 5, in force before 7: %v", err)
 	}
-	if err := name(nil, 5, "third"); !errors.Is(err, weights.ErrOlder) {
+	if err := name(nil, 5, "third"); !errors.Is(err, weights.ErrOlderVersion) {
 		t.Fatalf("version 5 named after 7: %v, want ErrOlder", err)
 	}
 }
