--- a/pkg/weights/demand.go
+++ b/pkg/weights/demand.go
@@ -9,78 +9,85 @@
 	"github.com/zinnialadder/zinnialadder/pkg/upstream"
 )
 
-// LoadOrder is an order to an engine to load a version of a model.
+// LoadOrder tells an engine to load a version of a model.
 type LoadOrder struct {
 	Model   string
 	Version uint64
-	Holder  string // the instance that gives it
+	Holder  string // instance that sends the order
 	Fencing uint64
-	// AfterOrders is how many orders the engine has accepted before this one,
-	// so that one that arrives late, after newer ones, is not carried out.
+	// AfterOrders is the number of orders that the engine had accepted when this one
+	// was made. An engine that has accepted more since then refuses the order, so that
+	// a delayed order does not undo a newer one.
 	AfterOrders uint64
-	// Continue lets the engine's running requests go on under the new version
-	// rather than have the order wait for their end.
+	// Continue makes the engine finish its running requests under the new version. If
+	// it is false, the load waits until they have ended.
 	Continue bool
 }
 
-// OrderOutcome is what became of an order.
+// OrderOutcome is the result of sending an order.
 type OrderOutcome int
 
 // The outcomes of an order.
 const (
-	OrderUnknown  OrderOutcome = iota // it may be carried out, also later
-	OrderAccepted                     // it is being carried out, or already holds
-	OrderRefused                      // it is not carried out
-	OrderFenced                       // the engine knows of a later holder
+	OrderUnknown  OrderOutcome = iota // no answer: the engine may load the version now or later
+	OrderAccepted                     // the engine is loading the version, or holds it already
+	OrderRefused                      // the engine does not load the version
+	OrderFenced                       // the engine has seen a newer fencing token
 )
 
-// EngineReport is what an engine tells when it is asked. It lags by some
-// hundred milliseconds.
+// EngineReport is an engine's report of its state. It may be a few hundred milliseconds
+// old.
 type EngineReport struct {
-	Orders   uint64 // accepted since its start
-	Busy     bool   // with an order
+	Orders   uint64 // orders accepted since the engine started
+	Busy     bool   // whether the engine is carrying out an order
 	Versions map[string]uint64
 }
 
-// OrderClient gives orders to engines.
+// OrderClient sends load orders to engines and fetches their reports.
 type OrderClient interface {
 	Report(ctx context.Context, from upstream.Entry) (EngineReport, error)
 	Order(ctx context.Context, to upstream.Entry, o LoadOrder) (OrderOutcome, error)
 }
 
-// Demand is what is asked of one model.
+// Demand is the load on one model.
 type Demand struct {
 	Model         string
-	TargetVersion uint64 // newest version
-	MaxLag        uint64 // how many versions behind it requests accept
-	Work          float64
-	// Busy means that requests of the model are under way or wait.
+	TargetVersion uint64  // target version; 0 for none
+	MaxLag        uint64  // how many versions behind the target version requests accept
+	Work          float64 // share of the engines, relative to the other models
+	// Busy reports whether requests of the model are queued or in flight.
 	Busy bool
-	// MaxItems is how many texts may be under way at once; 0 if not known.
+	// MaxItems is the largest number of items that may be in flight at once; 0 if
+	// unknown.
 	MaxItems int
-	// MaxEngines is how many engines these can use; 0 if not known.
+	// MaxEngines is the largest number of engines that those items can use; 0 if
+	// unknown.
 	MaxEngines int
 }
 
-// minEngines is how many engines a model has at least, where there are enough,
-// so that one may crash.
+// minEngines is the smallest number of engines that a model is assigned, if there are
+// enough engines. With two, the model is still served when one crashes.
 const minEngines = 2
 
-// AssignEngines deals the engines to the models by their work, each engine to one
-// model, so that an engine loads new versions of one model only and the loads of
-// one model take nothing away from another. Engines are dealt in order of their
-// IDs, so that one that comes or goes moves few others. Where there are far more than
-// the texts of all models can use, each model is dealt what its own can use: each
-// engine that it has loads its versions, and of hundreds most would do so in vain while
-// those that its next step needs wait for their turn; and its work varies from step to
-// step, by a part that is many engines of hundreds. What it returns may share memory
-// with engines.
+// AssignEngines assigns the engines to the models in proportion to their work. Each
+// engine gets one model, so that it loads versions of that model only and the loads of
+// one model do not reduce the capacity of another. Engines are assigned in order of
+// their IDs, so that few change their model when one joins or leaves. If there are
+// fewer than minEngines for each model, or no work, every model may use every engine.
+//
+// If there are far more engines than the items of all models can use, each model gets
+// only the number that its own items can use. An engine loads every version of its
+// model: with hundreds of engines most of these loads would be of no use and would
+// delay those of the engines that the next step needs. Assignment by work would also
+// move many of the engines with each step, as the work varies from step to step.
+//
+// The returned slices may share memory with engines.
 func AssignEngines(engines []string, demands []Demand) map[string][]string {
 	ids := engines
 	if !slices.IsSorted(ids) {
 		ids = slices.Sorted(slices.Values(engines))
 	}
-	if out, ok := dealByNeed(ids, demands); ok {
+	if out, ok := assignByNeed(ids, demands); ok {
 		return out
 	}
 	total := 0.0
@@ -90,7 +97,7 @@
 	out := make(map[string][]string, len(demands))
 	if len(ids) < len(demands)*minEngines || total <= 0 {
 		for _, d := range demands {
-			out[d.Model] = ids // too few to deal
+			out[d.Model] = ids // too few engines to divide
 		}
 		return out
 	}
@@ -105,12 +112,14 @@
 	return out
 }
 
-// plenty is how many times the engines that the texts of all models can use there must
-// be for models to be dealt by need.
-const plenty = 1.5
+// surplusFactor is the ratio of the engines to those that the items of all models can
+// use from which on engines are assigned by need instead of by work.
+const surplusFactor = 1.5
 
-// dealByNeed deals each model the engines that its texts can use, if there are plenty.
-func dealByNeed(ids []string, demands []Demand) (map[string][]string, bool) {
+// assignByNeed assigns each model the number of engines that its items can use. It
+// reports false if that number is unknown for a model or there is no surplus of
+// engines.
+func assignByNeed(ids []string, demands []Demand) (map[string][]string, bool) {
 	need := 0
 	for _, d := range demands {
 		if d.MaxEngines <= 0 {
@@ -118,7 +127,7 @@
 		}
 		need += max(d.MaxEngines, minEngines)
 	}
-	if need == 0 || plenty*float64(need) > float64(len(ids)) {
+	if need == 0 || surplusFactor*float64(need) > float64(len(ids)) {
 		return nil, false
 	}
 	out := make(map[string][]string, len(demands))
@@ -129,17 +138,18 @@
 	return out, true
 }
 
-// EnginesToLoad returns the engines to move to the version named, of those given with the
-// versions that they hold, the most urgent first. Engines that are too old for
-// requests to come are moved at once: they serve nothing as they are. The others
-// still serve, and are moved while the model is idle, at most spare of them, so
-// that fewer are too old when the next version is named.
+// EnginesToLoad returns the engines that are to load the target version of d now, most
+// urgent first. held maps each engine of the model to the version that it holds.
+//
+// Engines whose version is older than d.MaxLag allows serve no requests and always
+// load. Engines that still serve load while the model is idle, at most spare of them at
+// a time, so that fewer are too old when the target version changes next.
 //
-// It answers the load of a trainer that never pauses: a step is asked as soon as
-// its version is named. Half of the engines then are a version ahead of the other
-// half, and serve while those load; were all of one version they would all load at
-// once, every second step, for which the step waited 0.9 to 1.9 s. So engines are
-// moved while they serve if fewer than half would hold the version named.
+// A trainer that never pauses submits a step as soon as it has set the target version.
+// If all engines held the same version, they would all become too old and load at once
+// on every second step; steps then waited 0.9 to 1.9 s. Therefore engines that still
+// serve load also while the model is busy if fewer than half of the engines would hold
+// the target version: one half serves while the other loads.
 func EnginesToLoad(held map[string]uint64, d Demand, spare int) []string {
 	ids := make([]string, 0, len(held))
 	for id := range held {
@@ -148,7 +158,7 @@
 	slices.SortFunc(ids, func(a, b string) int {
 		return cmp.Or(cmp.Compare(held[a], held[b]), cmp.Compare(a, b))
 	})
-	ahead := len(ids) / 2 // to hold the version named
+	ahead := len(ids) / 2 // engines that should still load to make half of them hold the target version
 	for _, v := range held {
 		if v >= d.TargetVersion {
 			ahead--
@@ -165,9 +175,10 @@
 	return out
 }
 
-// SortByUrgency returns the demands for models of which a version is named, those first of
-// which the fewest engines, of those that held returns, hold a version that requests
-// accept: few engines load at once, and a step that none serves waits for the first.
+// SortByUrgency returns the demands that have a target version, those first of which
+// the fewest engines hold a version that requests accept. held returns the versions of
+// the engines of a demand. Only few engines load at once, and a step that no engine can
+// serve waits for the first of them.
 func SortByUrgency(demands []Demand, held func(Demand) map[string]uint64) []Demand {
 	usable := make(map[string]int, len(demands))
 	var out []Demand
--- a/pkg/weights/demand_test.go
+++ b/pkg/weights/demand_test.go
@@ -10,9 +10,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// Each engine is dealt to one model, each model has the least number of engines
-// and its share by work, and an engine that goes moves few others.
-func TestPartition(t *testing.T) {
+// Each engine is assigned to one model, each model gets the minimum number of engines
+// and its share by work, and removing an engine moves few others.
+func TestAssignEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ids []string
 		for i := range rapid.IntRange(1, 60).Draw(t, "engines") {
@@ -26,7 +26,7 @@
 		if len(ids) < 2*len(ds) {
 			for _, d := range ds {
 				if len(parts[d.Model]) != len(ids) {
-					t.Fatalf("%s has %d of %d engines, too few to deal", d.Model, len(parts[d.Model]), len(ids))
+					t.Fatalf("%s: got %d of %d engines, want all: there are too few to divide", d.Model, len(parts[d.Model]), len(ids))
 				}
 			}
 			return
@@ -34,19 +34,19 @@
 		var all []string
 		for _, d := range ds {
 			if len(parts[d.Model]) < 2 {
-				t.Fatalf("%s has %d engines", d.Model, len(parts[d.Model]))
+				t.Fatalf("%s: got %d engines, want at least 2", d.Model, len(parts[d.Model]))
 			}
 			all = append(all, parts[d.Model]...)
 		}
 		slices.Sort(all)
 		if !slices.Equal(all, ids) {
-			t.Fatalf("dealt %v of %v", all, ids)
+			t.Fatalf("assigned engines: got %v, want %v", all, ids)
 		}
 		if len(ids)-1 < 2*len(ds) {
 			return
 		}
-		gone := rapid.SampledFrom(ids).Draw(t, "gone")
-		after := weights.AssignEngines(slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return id == gone }), ds)
+		removed := rapid.SampledFrom(ids).Draw(t, "gone")
+		after := weights.AssignEngines(slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return id == removed }), ds)
 		moved := 0
 		for _, d := range ds {
 			for _, id := range after[d.Model] {
@@ -56,22 +56,22 @@
 			}
 		}
 		if moved > 2*len(ds) {
-			t.Fatalf("%d engines moved as one went", moved)
+			t.Fatalf("removing one engine moved %d others, want at most %d", moved, 2*len(ds))
 		}
 	})
 }
 
-// Hundreds of engines, of which the steps can use a part: each model is dealt what its
-// texts can use, and those that it has stay while its work varies from step to step and
-// engines come and go.
-func TestPartitionOfMoreThanCanBeUsed(t *testing.T) {
+// With hundreds of engines, more than the items of all steps can use, each model gets
+// the number that its items can use. It keeps these engines while its work varies from
+// step to step and engines join and leave.
+func TestAssignEnginesSurplus(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ids []string
 		for i := range rapid.IntRange(300, 3000).Draw(t, "engines") {
 			ids = append(ids, fmt.Sprintf("i%04d", i))
 		}
 		ds := make([]weights.Demand, rapid.IntRange(1, 4).Draw(t, "models"))
-		deal := func() map[string][]string {
+		assign := func() map[string][]string {
 			for i := range ds {
 				ds[i].Work = rapid.Float64Range(500, 1500).Draw(t, "work")
 			}
@@ -80,18 +80,18 @@
 		for i := range ds {
 			ds[i].Model, ds[i].MaxEngines = fmt.Sprintf("m%d", i), rapid.IntRange(1, 43).Draw(t, "most")
 		}
-		before := deal()
+		before := assign()
 		ids = slices.Delete(ids, 5, 6)
-		after := deal()
+		after := assign()
 		seen := map[string]bool{}
 		for _, d := range ds {
 			if n := len(after[d.Model]); n != max(d.MaxEngines, 2) {
-				t.Fatalf("%s is dealt %d engines and can use %d", d.Model, n, d.MaxEngines)
+				t.Fatalf("%s: got %d engines, want %d", d.Model, n, max(d.MaxEngines, 2))
 			}
 			moved := 0
 			for _, id := range after[d.Model] {
 				if seen[id] {
-					t.Fatalf("%s is dealt twice", id)
+					t.Fatalf("engine %s is assigned twice", id)
 				}
 				seen[id] = true
 				if !slices.Contains(before[d.Model], id) {
@@ -99,99 +99,99 @@
 				}
 			}
 			if moved > 1 {
-				t.Fatalf("%s has %d other engines as one went", d.Model, moved)
+				t.Fatalf("%s: removing one engine changed %d of its engines, want at most 1", d.Model, moved)
 			}
 		}
 	})
 }
 
-// Replays a trainer that names a version every four seconds and whose steps
-// accept the one before, with pauses in which two engines load: none is left
-// too old, those moved in the last pause are new enough at once, and engines are
-// moved less than once for each version.
-func TestDueStaggersEngines(t *testing.T) {
+// A trainer sets a version every four seconds and its steps accept the one before, with
+// pauses in which two engines load. No engine is left too old, enough engines are
+// usable as soon as the target version changes, and the engines load less than once for
+// each version.
+func TestEnginesToLoadStaggersLoads(t *testing.T) {
 	held := map[string]uint64{}
 	for i := range 8 {
 		held[fmt.Sprintf("i%d", i)] = 1
 	}
-	moves := 0
-	for named := uint64(2); named < 20; named++ {
-		d := weights.Demand{Model: "m", TargetVersion: named, MaxLag: 1, Busy: true}
+	loads := 0
+	for target := uint64(2); target < 20; target++ {
+		d := weights.Demand{Model: "m", TargetVersion: target, MaxLag: 1, Busy: true}
 		usable := 0
 		for _, v := range held {
-			if v+1 >= named {
+			if v+1 >= target {
 				usable++
 			}
 		}
-		if named > 3 && usable < 2 {
-			t.Fatalf("%d of 8 engines are new enough as version %d is named", usable, named)
+		if target > 3 && usable < 2 {
+			t.Fatalf("usable engines when version %d becomes the target: got %d of 8, want at least 2", target, usable)
 		}
 		for _, id := range weights.EnginesToLoad(held, d, 4) {
-			held[id] = named
-			moves++
+			held[id] = target
+			loads++
 		}
 		d.Busy = false
 		for i, id := range weights.EnginesToLoad(held, d, 4) {
 			if i < 2 { // as many as load in a pause
-				held[id] = named
-				moves++
+				held[id] = target
+				loads++
 			}
 		}
 		for id, v := range held {
-			if v+1 < named {
-				t.Fatalf("engine %s is left at %d with %d named", id, v, named)
+			if v+1 < target {
+				t.Fatalf("engine %s: got version %d, want at least %d", id, v, target-1)
 			}
 		}
 	}
-	if moves >= 18*8 {
-		t.Fatalf("%d moves of 8 engines for 18 versions", moves)
+	if loads >= 18*8 {
+		t.Fatalf("8 engines, 18 versions: got %d loads, want fewer than %d", loads, 18*8)
 	}
 }
 
-// Without a lag every engine is moved at once.
-func TestDueWithoutLag(t *testing.T) {
+// If requests accept no lag, every engine that does not hold the target version loads
+// at once.
+func TestEnginesToLoadWithoutLag(t *testing.T) {
 	held := map[string]uint64{"a": 1, "b": 2, "c": 3}
 	if got := weights.EnginesToLoad(held, weights.Demand{TargetVersion: 3, Busy: true}, 0); !slices.Equal(got, []string{"a", "b"}) {
-		t.Fatal(got)
+		t.Fatalf("EnginesToLoad: got %v, want [a b]", got)
 	}
 }
 
-// Replays a trainer that is behind, so that it never pauses: as each version is
-// named, half of the engines or more take the step's requests at once, however many
-// there are and though all began with one version, and each engine is moved for
-// every second version.
-func TestDueStaggersEnginesOfATrainerThatNeverPauses(t *testing.T) {
+// A trainer never pauses: it submits a step as soon as it has set the target version.
+// Half of the engines or more can serve the step at once, for any number of engines and
+// although all began with the same version, and each engine loads every second version.
+func TestEnginesToLoadWithoutPauses(t *testing.T) {
 	for _, engines := range []int{2, 3, 4, 11} {
 		held := map[string]uint64{}
 		for i := range engines {
 			held[fmt.Sprintf("i%02d", i)] = 1
 		}
-		moves := 0
+		loads := 0
 		const versions = 20
-		for named := uint64(2); named < 2+versions; named++ {
+		for target := uint64(2); target < 2+versions; target++ {
 			usable := 0
 			for _, v := range held {
-				if v+1 >= named {
+				if v+1 >= target {
 					usable++
 				}
 			}
 			if usable < engines/2 {
-				t.Fatalf("%d of %d engines are new enough as version %d is named", usable, engines, named)
+				t.Fatalf("usable engines when version %d becomes the target: got %d of %d, want at least %d", target, usable, engines, engines/2)
 			}
-			for _, id := range weights.EnginesToLoad(held, weights.Demand{Model: "m", TargetVersion: named, MaxLag: 1, Busy: true}, 0) {
-				held[id] = named
-				moves++
+			for _, id := range weights.EnginesToLoad(held, weights.Demand{Model: "m", TargetVersion: target, MaxLag: 1, Busy: true}, 0) {
+				held[id] = target
+				loads++
 			}
 		}
-		if moves > versions*(engines+1)/2 {
-			t.Errorf("%d moves of %d engines for %d versions", moves, engines, versions)
+		if loads > versions*(engines+1)/2 {
+			t.Errorf("%d engines, %d versions: got %d loads, want at most %d", engines, versions, loads, versions*(engines+1)/2)
 		}
 	}
 }
 
-// Of three trainers whose versions are named together, the one that no engine serves
-// comes first, and one of which no version is named does not load.
-func TestByNeed(t *testing.T) {
+// Of three models whose target versions change together, the one that no engine can
+// serve comes first, and a model without a target version is left out.
+func TestSortByUrgency(t *testing.T) {
 	held := map[string]map[string]uint64{"a": {"i1": 4, "i2": 3}, "b": {"i3": 2, "i4": 2}, "c": {"i5": 4, "i6": 4}, "d": {"i7": 1}}
 	demands := []weights.Demand{{Model: "a", TargetVersion: 5, MaxLag: 1}, {Model: "b", TargetVersion: 5, MaxLag: 1}, {Model: "c", TargetVersion: 5, MaxLag: 1}, {Model: "d"}}
 	var got []string
@@ -199,6 +199,6 @@
 		got = append(got, d.Model)
 	}
 	if !slices.Equal(got, []string{"b", "a", "c"}) {
-		t.Fatal(got)
+		t.Fatalf("SortByUrgency: got %v, want [b a c]", got)
 	}
 }
--- a/pkg/weights/rollout.go
+++ b/pkg/weights/rollout.go
@@ -10,74 +10,81 @@
 	"github.com/zinnialadder/zinnialadder/pkg/engine"
 )
 
-// Config bounds a Rollout.
+// Config holds the limits and times of a Rollout.
 type Config struct {
-	// MaxLoading is how many engines of the pool may be loading at once,
-	// and so unavailable: the pool's unavailable budget.
+	// MaxLoading is the largest number of the pool's engines that may be loading, and
+	// thus unavailable, at once.
 	MaxLoading int
-	// SendMargin is how long before the lease lapses orders stop.
+	// SendMargin is how long before the lease expires the last order is issued.
 	SendMargin time.Duration
-	// OrderTimeout is how long one order may take before its outcome is
-	// unknown.
+	// OrderTimeout is how long to wait for the answer to an order. After it the outcome
+	// of the order is unknown.
 	OrderTimeout time.Duration
-	// RetryDelay is the pause before an engine whose order failed is
-	// ordered again.
+	// RetryDelay is the pause between a failed order and the next one to the same
+	// engine.
 	RetryDelay time.Duration
-	// ReportLag is how far load reports may lag: reports are not believed
-	// for that long after an order.
+	// ReportLag is the largest age of a load report. Reports are ignored for that long
+	// after an order has succeeded, as they may be older than the order.
 	ReportLag time.Duration
 }
 
-// Engine is what a Rollout knows of one engine.
+// Engine is the state of one engine as known to a Rollout.
 type Engine struct {
-	Version            uint64    // as last reported or ordered; 0 if not known
-	Loading            bool      // the engine says it is loading
-	OrderDeadline      time.Time // an order is outstanding until then; zero if none
-	RetryAt            time.Time // not ordered again before then
-	IgnoreReportsUntil time.Time // load reports are believed again from then
+	Version            uint64    // last reported or loaded; 0 if unknown
+	Loading            bool      // as last reported
+	OrderDeadline      time.Time // timeout of the outstanding order; zero if there is none
+	RetryAt            time.Time // earliest time of the next order
+	IgnoreReportsUntil time.Time // load reports before this time are ignored
 }
 
-// Rollout is the state of one pool's rollout at the instance that holds its
+// Rollout is the state of one pool's rollout at the instance that holds the pool's
 // lease. It is a value: Reduce returns the next one.
 type Rollout struct {
 	Config  Config
-	Target  uint64 // version to load; 0 while none is named
-	Fencing uint64 // fencing number of the lease held; 0 if none is
-	// LeaseExpiresAt is when the lease lapses by this process's clock.
+	Target  uint64 // target version; 0 for none
+	Fencing uint64 // fencing token of the lease; 0 if the lease is not held
+	// LeaseExpiresAt is the expiry of the lease by this process's clock.
 	LeaseExpiresAt time.Time
 	Engines        map[string]Engine
 }
 
-// Event is something a Rollout is told.
+// Event is an input of Rollout.Reduce.
 type Event interface{ isRolloutEvent() }
 
 type (
-	// Tick tells the time.
+	// Tick is sent periodically. The Rollout expires orders that got no answer and
+	// issues new ones.
 	Tick struct{ At time.Time }
-	// TargetChanged tells the version named for the pool.
+	// TargetChanged is sent when the pool's target version has been read. The Rollout
+	// takes the version if it is newer than its target.
 	TargetChanged struct{ Version uint64 }
-	// EnginesChanged tells the addresses of the engines that may be ordered.
+	// EnginesChanged is sent with the addresses of the engines that may be ordered. The
+	// Rollout drops all others.
 	EnginesChanged struct{ Addresses []string }
-	// LeaseHeld tells that the pool's lease is held until Until under Fencing.
+	// LeaseHeld is sent when the pool's lease has been acquired or renewed. The Rollout
+	// may issue orders with the token Fencing until shortly before Until.
 	LeaseHeld struct {
 		Fencing uint64
 		Until   time.Time
 	}
-	// LeaseLost tells that the lease is not held.
+	// LeaseLost is sent when the lease is not held. The Rollout issues no orders until
+	// the next LeaseHeld.
 	LeaseLost struct{}
-	// LoadReported tells an engine's load report.
+	// LoadReported is sent with an engine's load report. The Rollout updates the
+	// engine's version and whether it is loading.
 	LoadReported struct {
 		Address string
 		Report  engine.LoadReport
 		At      time.Time
 	}
-	// VersionsReported tells the versions that engines hold, by address.
+	// VersionsReported is sent with the versions that engines hold, by address. The
+	// Rollout updates these engines and takes them as not loading.
 	VersionsReported struct {
 		ByAddress map[string]uint64
 		At        time.Time
 	}
-	// OrderEnded tells how an order ended: Err is nil if the engine loaded
-	// Version.
+	// OrderEnded is sent when an order has got its answer. Err is nil if the engine
+	// loaded Version. The Rollout retries a failed order after Config.RetryDelay.
 	OrderEnded struct {
 		Address string
 		Version uint64
@@ -95,8 +102,8 @@
 func (VersionsReported) isRolloutEvent() {}
 func (OrderEnded) isRolloutEvent()       {}
 
-// Order is an effect: order the engine at Address to load Version. It must
-// not be sent at or after NotAfter, when the lease may have passed on.
+// Order is an effect: the caller orders the engine at Address to load Version. It must
+// not be sent at or after NotAfter, since another instance may hold the lease by then.
 type Order struct {
 	Address  string
 	Version  uint64
@@ -104,7 +111,7 @@
 	NotAfter time.Time
 }
 
-// Reduce returns r after ev, and the orders to send.
+// Reduce returns the state after ev, and the orders that the caller must send.
 func (r Rollout) Reduce(ev Event) (Rollout, []Order) {
 	switch e := ev.(type) {
 	case Tick:
@@ -112,22 +119,23 @@
 	case TargetChanged:
 		r.Target = max(r.Target, e.Version)
 	case EnginesChanged:
-		r.Engines = keep(r.Engines, e.Addresses)
+		r.Engines = withAddresses(r.Engines, e.Addresses)
 	case LeaseHeld:
 		r.Fencing, r.LeaseExpiresAt = e.Fencing, e.Until
 	case LeaseLost:
 		r.Fencing, r.LeaseExpiresAt = 0, time.Time{}
 	case LoadReported:
-		r = r.onReported(e)
+		r = r.onLoadReported(e)
 	case VersionsReported:
-		r = r.onVersions(e)
+		r = r.onVersionsReported(e)
 	case OrderEnded:
-		r = r.onOrdered(e)
+		r = r.onOrderEnded(e)
 	}
 	return r, nil
 }
 
-// Converged reports whether every engine is known to hold the target.
+// Converged reports whether every engine is known to hold the target version and no
+// order is outstanding.
 func (r Rollout) Converged() bool {
 	for _, e := range r.Engines {
 		if e.Version != r.Target || !e.OrderDeadline.IsZero() {
@@ -147,8 +155,8 @@
 	return true
 }
 
-// Outdated returns the addresses of the engines not known to hold the target,
-// the oldest version first.
+// Outdated returns the addresses of the engines that are not known to hold the target
+// version, sorted by version and address.
 func (r Rollout) Outdated() []string {
 	var out []string
 	for a, e := range r.Engines {
@@ -166,11 +174,11 @@
 }
 
 func (r Rollout) onTick(now time.Time) (Rollout, []Order) {
-	r = r.expire(now)
+	r = r.expireOrders(now)
 	if r.Target == 0 || r.Fencing == 0 || !now.Add(r.Config.SendMargin).Before(r.LeaseExpiresAt) {
 		return r, nil
 	}
-	free := r.Config.MaxLoading - r.loading()
+	free := r.Config.MaxLoading - r.countLoading()
 	var orders []Order
 	ordered := maps.Clone(r.Engines)
 	for _, addr := range r.Outdated() {
@@ -190,20 +198,21 @@
 	return r, orders
 }
 
-// expire ends orders that got no answer in time: their outcome is unknown
-// until the engine reports.
-func (r Rollout) expire(now time.Time) Rollout {
+// expireOrders ends the orders whose answer did not arrive in time. Their outcome is
+// unknown until the engine reports its version.
+func (r Rollout) expireOrders(now time.Time) Rollout {
 	for addr, e := range r.Engines {
 		if !e.OrderDeadline.IsZero() && now.After(e.OrderDeadline) {
 			e.OrderDeadline, e.RetryAt = time.Time{}, now.Add(r.Config.RetryDelay)
-			r = r.with(addr, e)
+			r = r.withEngine(addr, e)
 		}
 	}
 	return r
 }
 
-// loading counts the engines that are, or may be, loading.
-func (r Rollout) loading() int {
+// countLoading returns the number of engines that are loading or have an outstanding
+// order.
+func (r Rollout) countLoading() int {
 	n := 0
 	for _, e := range r.Engines {
 		if e.Loading || !e.OrderDeadline.IsZero() {
@@ -213,7 +222,7 @@
 	return n
 }
 
-func (r Rollout) onReported(ev LoadReported) Rollout {
+func (r Rollout) onLoadReported(ev LoadReported) Rollout {
 	e, ok := r.Engines[ev.Address]
 	if !ok || ev.At.Before(e.IgnoreReportsUntil) {
 		return r
@@ -222,12 +231,12 @@
 		return r
 	}
 	e.Version, e.Loading = ev.Report.WeightVersion, ev.Report.Loading
-	return r.with(ev.Address, e)
+	return r.withEngine(ev.Address, e)
 }
 
-// onVersions takes the versions of many engines at once: one copy of the engines
-// for a whole pool, where a copy for each engine took the square of their number.
-func (r Rollout) onVersions(ev VersionsReported) Rollout {
+// onVersionsReported updates many engines with one copy of the map: a copy for each
+// engine made the cost quadratic in the size of the pool.
+func (r Rollout) onVersionsReported(ev VersionsReported) Rollout {
 	engines := maps.Clone(r.Engines)
 	for addr, v := range ev.ByAddress {
 		e, ok := engines[addr]
@@ -241,7 +250,7 @@
 	return r
 }
 
-func (r Rollout) onOrdered(ev OrderEnded) Rollout {
+func (r Rollout) onOrderEnded(ev OrderEnded) Rollout {
 	e, ok := r.Engines[ev.Address]
 	if !ok {
 		return r
@@ -251,23 +260,23 @@
 	case ev.Err == nil:
 		e.Version, e.Loading, e.IgnoreReportsUntil = ev.Version, false, ev.At.Add(r.Config.ReportLag)
 	case errors.Is(ev.Err, engine.ErrStaleFencing):
-		// A later holder has ordered this engine: the lease is gone.
+		// The engine has seen a newer fencing token: another instance holds the lease.
 		r.Fencing, r.LeaseExpiresAt = 0, time.Time{}
 		e.RetryAt = ev.At.Add(r.Config.RetryDelay)
 	default:
 		e.RetryAt = ev.At.Add(r.Config.RetryDelay)
 	}
-	return r.with(ev.Address, e)
+	return r.withEngine(ev.Address, e)
 }
 
-func (r Rollout) with(addr string, e Engine) Rollout {
+func (r Rollout) withEngine(addr string, e Engine) Rollout {
 	r.Engines = maps.Clone(r.Engines)
 	r.Engines[addr] = e
 	return r
 }
 
-// keep returns known with exactly the addresses given.
-func keep(known map[string]Engine, addresses []string) map[string]Engine {
+// withAddresses returns an engine for each address, with the state of known if it has one.
+func withAddresses(known map[string]Engine, addresses []string) map[string]Engine {
 	next := make(map[string]Engine, len(addresses))
 	for _, a := range addresses {
 		next[a] = known[a]
--- a/pkg/weights/target.go
+++ b/pkg/weights/target.go
@@ -1,7 +1,7 @@
-// Package weights brings the engines of a pool to the weight version that
-// its trainer named. The named version is kept in the platform's table; a
-// Rollout decides which engine is ordered to load it and when, under a
-// lease whose fencing number every order carries.
+// Package weights brings the engines of a pool to the pool's target version, which the
+// trainer sets. The target version is kept in the platform's table. A Rollout decides
+// which engine is ordered to load it and when, under a lease whose fencing token every
+// order carries.
 package weights
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// TargetPrefix is the key prefix of targets in the platform's table. They
-// stand among the catalogue's rows, so that readers learn of a new version
-// from the same revision row.
+// TargetPrefix is the key prefix of targets in the platform's table. It lies below the
+// catalogue's prefix, so that readers learn of a new target version from the same
+// revision row as of a catalogue change.
 const TargetPrefix = "catalogue/weights/"
 
-// Target is the newest weight version named for a pool.
+// Target is the target version of a pool, with its author and the time it was set.
 type Target struct {
 	Pool    string    `json:"pool"`
 	Version uint64    `json:"version"`
@@ -28,30 +28,31 @@
 	SetAt   time.Time `json:"named_at"`
 }
 
-// ErrOlderVersion is returned by Name for a version older than the one in force.
-var ErrOlderVersion = errors.New("weights: a newer version is named already")
+// ErrOlderVersion is returned by SetTarget for a version older than the pool's target
+// version.
+var ErrOlderVersion = errors.New("weights: pool already has a newer target version")
 
-// DecodeTarget reads a Target from its row.
+// DecodeTarget decodes a Target from its row.
 func DecodeTarget(row platform.Row) (Target, error) {
 	var t Target
 	if err := json.Unmarshal(row.Value, &t); err != nil {
-		return Target{}, fmt.Errorf("weights: row %s: %w", row.Key, err)
+		return Target{}, fmt.Errorf("weights: decode row %s: %w", row.Key, err)
 	}
 	return t, nil
 }
 
-// nameTries bounds how often Name retries under racing writers and lost
-// replies.
-const nameTries = 5
+// maxSetAttempts bounds the attempts of SetTarget when other writers race with it or
+// replies are lost.
+const maxSetAttempts = 5
 
-// SetTarget makes t the target of its pool, with its audit record, whose
-// generation is the version. Naming the version in force again changes
-// nothing, so a caller may repeat SetTarget after a lost reply; an older version is
-// ErrOlder.
+// SetTarget makes t the target of its pool and writes an audit record whose generation
+// is the version. If the pool has that target version already, SetTarget changes
+// nothing, so it may be called again after a lost reply. It returns an error that wraps
+// ErrOlderVersion if the pool's target version is newer than t.
 func SetTarget(ctx context.Context, c *platform.Client, t Target) error {
 	var last error
-	var unsure []platform.Op // audit records of tries that may have written t
-	for range nameTries {
+	var unconfirmed []platform.Op // audit records of attempts that may have written t
+	for range maxSetAttempts {
 		row, err := c.Get(ctx, TargetPrefix+t.Pool)
 		if err != nil && !errors.Is(err, platform.ErrNotFound) {
 			return err
@@ -65,35 +66,36 @@
 				return nil
 			}
 			if cur.Version > t.Version {
-				return older(ctx, c, cur, t, unsure)
+				return resolveOlder(ctx, c, cur, t, unconfirmed)
 			}
 		}
 		var audit platform.Op
-		if audit, last = replace(ctx, c, row, t); last == nil {
+		if audit, last = replaceTarget(ctx, c, row, t); last == nil {
 			return nil
 		}
 		if errors.Is(last, platform.ErrUnavailable) {
-			unsure = append(unsure, audit)
+			unconfirmed = append(unconfirmed, audit)
 		}
 	}
 	return last
 }
 
-// older returns the outcome of naming t when cur, which is newer, is in force:
-// nil if one of the unsure audit records stands, so that t was in force
-// before, and else ErrOlder.
-func older(ctx context.Context, c *platform.Client, cur, t Target, unsure []platform.Op) error {
-	for _, audit := range unsure {
+// resolveOlder returns the result of SetTarget for t when cur, the pool's target, is
+// newer. It is nil if one of the unconfirmed audit records exists, since t was the
+// target before cur, and otherwise an error that wraps ErrOlderVersion.
+func resolveOlder(ctx context.Context, c *platform.Client, cur, t Target, unconfirmed []platform.Op) error {
+	for _, audit := range unconfirmed {
 		if ok, err := catalogue.AuditRecorded(ctx, c, audit); ok || err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("%w: pool %s is at %d, not %d", ErrOlderVersion, t.Pool, cur.Version, t.Version)
+	return fmt.Errorf("%w: pool %s: current version %d, requested version %d", ErrOlderVersion, t.Pool, cur.Version, t.Version)
 }
 
-// replace writes t over row, the target of its pool as last read, together
-// with the audit record, which it returns.
-func replace(ctx context.Context, c *platform.Client, row platform.Row, t Target) (audit platform.Op, err error) {
+// replaceTarget writes t and its audit record in one transaction, on condition that the
+// pool's row is still row. It returns the audit record also after an error of the
+// transaction, which may have been carried out.
+func replaceTarget(ctx context.Context, c *platform.Client, row platform.Row, t Target) (audit platform.Op, err error) {
 	key := TargetPrefix + t.Pool
 	put, err := platform.Put(key, row.Version, t)
 	if err != nil {
--- a/pkg/weights/target_test.go
+++ b/pkg/weights/target_test.go
@@ -18,11 +18,11 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// Trainers that name versions at the same time, over a platform that loses
-// replies: the target only rises, what Name confirms is in force or was, what
-// it refuses never was, and the audit trail holds each version that was in
-// force, once, in order.
-func TestNamedVersionsRiseAndAreAudited(t *testing.T) {
+// Trainers set target versions concurrently over a platform that loses replies. The
+// target version only rises; a version that SetTarget confirmed is or was the target; a
+// version that it refused never was; and the audit trail holds each version that was
+// the target, once and in order.
+func TestTargetOnlyRisesAndIsAudited(t *testing.T) {
 	srv := platformtest.New()
 	hs := httptest.NewServer(srv.Handler())
 	defer hs.Close()
@@ -52,7 +52,7 @@
 				case errors.Is(errs[i], weights.ErrOlderVersion):
 					refused[author(i)] = true
 				case !errors.Is(errs[i], platform.ErrUnavailable):
-					t.Fatalf("version %d: %v", v, errs[i])
+					t.Fatalf("SetTarget(%d): got %v, want nil, ErrOlderVersion or ErrUnavailable", v, errs[i])
 				}
 			}
 		}
@@ -67,27 +67,27 @@
 		}
 		trail, err := catalogue.Audit(ctx, client, weights.TargetPrefix+pool)
 		if err != nil || len(trail) == 0 {
-			t.Fatalf("audit trail %v, %v", trail, err)
+			t.Fatalf("audit trail: got %v, %v, want records", trail, err)
 		}
 		before := ""
 		for i, ch := range trail {
 			if i > 0 && ch.Generation <= trail[i-1].Generation || ch.Before != before || ch.Author == "" {
-				t.Fatalf("audit record %d is %+v after %+v", i, ch, trail[max(0, i-1)])
+				t.Fatalf("audit record %d: got %+v after %+v, want rising generations, linked values and an author", i, ch, trail[max(0, i-1)])
 			}
 			if refused[ch.Author] {
-				t.Fatalf("version %d of %s was refused, and was in force", ch.Generation, ch.Author)
+				t.Fatalf("version %d of %s was refused but is in the audit trail", ch.Generation, ch.Author)
 			}
 			delete(confirmed, ch.Generation)
 			before = ch.After
 		}
 		if len(confirmed) > 0 || before != string(row.Value) || trail[len(trail)-1].Generation != target.Version {
-			t.Fatalf("versions %v confirmed and not audited; target %s, last record %s", confirmed, row.Value, before)
+			t.Fatalf("confirmed versions without an audit record: %v; target %s, last record %s", confirmed, row.Value, before)
 		}
 	})
 }
 
-// lostReply is a transport that loses the reply of the first commit, once the
-// platform has carried it out, and runs meanwhile before the caller learns.
+// lostReply is a transport that drops the reply to the first commit after the platform
+// has carried it out. It calls meanwhile before it returns the error to the caller.
 type lostReply struct {
 	meanwhile func()
 	done      bool
@@ -104,25 +104,25 @@
 	return nil, errors.New("reply lost")
 }
 
-// A version that was in force before a newer one took its place is not
-// refused as older, though its own reply was lost.
-func TestVersionReplacedBeforeItsReplyIsConfirmed(t *testing.T) {
+// A version that was the target before a newer one replaced it is confirmed, although
+// the reply to its own commit was lost.
+func TestReplacedTargetIsConfirmed(t *testing.T) {
 	srv := platformtest.New()
 	hs := httptest.NewServer(srv.Handler())
 	defer hs.Close()
 	ctx := context.Background()
-	name := func(hc *http.Client, version uint64, author string) error {
+	set := func(hc *http.Client, version uint64, author string) error {
 		return weights.SetTarget(ctx, platform.NewClient(hs.URL, hc), weights.Target{Pool: "assistant-pool", Version: version, Author: author, SetAt: time.Unix(1, 0)})
 	}
 	lossy := &http.Client{Transport: &lostReply{meanwhile: func() {
-		if err := name(nil, 7, "second"); err != nil {
+		if err := set(nil, 7, "second"); err != nil {
 			t.Error(err)
 		}
 	}}}
-	if err := name(lossy, 5, "first"); err != nil {
-		t.Fatalf("version 5, in force before 7: %v", err)
+	if err := set(lossy, 5, "first"); err != nil {
+		t.Fatalf("SetTarget(5), the target before 7: got %v, want nil", err)
 	}
-	if err := name(nil, 5, "third"); !errors.Is(err, weights.ErrOlderVersion) {
-		t.Fatalf("version 5 named after 7: %v, want ErrOlder", err)
+	if err := set(nil, 5, "third"); !errors.Is(err, weights.ErrOlderVersion) {
+		t.Fatalf("SetTarget(5) after 7: got %v, want ErrOlderVersion", err)
 	}
 }
