--- a/pkg/quarantine/content.go
+++ b/pkg/quarantine/content.go
@@ -1,14 +1,15 @@
-// Package quarantine finds requests that crash the upstreams that run them, and
-// keeps them from being run again and again.
+// Package quarantine finds requests that crash the upstreams that run them, and limits
+// how often such a request runs.
 //
-// A request is known by its content, since it comes again under other IDs and at
-// other instances. Each upstream that ends while it runs a content counts against
-// that content, until an upstream answers it. A content that has ended too many is in
-// quarantine: it runs in trials only, of which there are few among all instances.
+// A request is identified by a fingerprint of its content, since clients send it again
+// under other IDs and to other instances. Each upstream that crashes while it runs a
+// content counts against that content until an upstream answers it. A content with too
+// many crashes is in quarantine: it runs only in trials, whose number is limited across
+// all instances.
 //
-// A Ledger decides, without input or output. A Guard stands between a Ledger and
-// those who send requests. What a Ledger counts are facts, which instances share as
-// rows of the platform's store.
+// A CrashTracker decides without I/O. A Guard applies its decisions to the requests
+// that an instance sends. Crashes and claimed trials are Facts, which instances share
+// as rows of the platform's store; a Syncer writes these.
 package quarantine
 
 import (
@@ -19,8 +20,8 @@
 	"hash"
 )
 
-// Content is the part of a request that an upstream works on. What differs from one
-// attempt to the next, such as IDs and deadlines, is no part of it.
+// Content is the part of a request that an upstream works on. It excludes what differs
+// between attempts, such as IDs and deadlines.
 type Content struct {
 	Method string
 	Host   string
@@ -32,7 +33,7 @@
 // Fingerprint identifies a Content.
 type Fingerprint [16]byte
 
-// Fingerprint returns the fingerprint of c.
+// Fingerprint returns the first 16 bytes of a SHA-256 hash of c.
 func (c Content) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, s := range []string{c.Method, c.Host, c.URI, c.Model} {
@@ -44,7 +45,8 @@
 	return f
 }
 
-// writeField writes b after its length, so that fields cannot run into one another.
+// writeField writes b after its length, so that the boundaries of fields are part of
+// the hash.
 func writeField(h hash.Hash, b []byte) {
 	var n [8]byte
 	binary.BigEndian.PutUint64(n[:], uint64(len(b)))
@@ -55,12 +57,12 @@
 // String returns f in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String returned.
+// ParseFingerprint parses the result of Fingerprint.String.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	var f Fingerprint
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != len(f) {
-		return f, fmt.Errorf("quarantine: %q is no fingerprint", s)
+		return f, fmt.Errorf("quarantine: invalid fingerprint %q", s)
 	}
 	copy(f[:], b)
 	return f, nil
--- a/pkg/quarantine/content_test.go
+++ b/pkg/quarantine/content_test.go
@@ -6,8 +6,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/quarantine"
 )
 
-// Contents that differ in one part have different fingerprints, also where the
-// parts, joined, are the same bytes.
+// Contents that differ in one field have different fingerprints, also if the
+// concatenations of their fields are equal.
 func TestFingerprint(t *testing.T) {
 	seen := map[quarantine.Fingerprint]int{}
 	for i, c := range []quarantine.Content{
@@ -19,12 +19,12 @@
 		}
 		seen[f] = i
 		if back, err := quarantine.ParseFingerprint(f.String()); err != nil || back != f {
-			t.Errorf("%v is read as %v, %v", f, back, err)
+			t.Errorf("ParseFingerprint(%v): got %v, %v", f, back, err)
 		}
 	}
 	for _, s := range []string{"", "00", "zz"} {
 		if _, err := quarantine.ParseFingerprint(s); err == nil {
-			t.Errorf("%q is read as a fingerprint", s)
+			t.Errorf("ParseFingerprint(%q): got nil error, want one", s)
 		}
 	}
 }
--- a/pkg/quarantine/decide.go
+++ b/pkg/quarantine/decide.go
@@ -6,55 +6,62 @@
 )
 
 const (
-	// maxEnds is how many upstreams may end under a content before it is in
-	// quarantine. Fewer would hold a request that was merely there twice, as happens
-	// where it is sent on from one upstream that ends to the next.
-	maxEnds = 3
-	// maxRetries is how often a content may run once maxEnds upstreams have ended under
-	// it, in trials or as long as something else explains the ends.
+	// quarantineThreshold is the number of crashes that put a content in quarantine.
+	// With a lower threshold a request would be quarantined that was merely running at
+	// two upstreams that crashed, as happens to one that is retried at another upstream
+	// after the first crashed.
+	quarantineThreshold = 3
+	// maxRetries is how often a content may run after quarantineThreshold crashes, in
+	// trials or while its crashes have another explanation.
 	maxRetries = 3
-	// firstTrialAfter is how long after the last end, or trial, the first trial may be.
-	// Each further one waits trialGrowth times longer. Upstreams take seconds to start
-	// again, and bystanders are not to wait for much longer.
-	firstTrialAfter = time.Second
-	trialGrowth     = 4
-	// minCrashTime is how long an upstream must have had a content to have ended under
-	// it. In less the connection tells of an end from before.
+	// firstTrialDelay is the time from the last crash to the first trial. Each further
+	// trial waits trialBackoffFactor times longer than the one before. Upstreams take
+	// seconds to restart, and a request that was not the cause should not wait much
+	// longer than that.
+	firstTrialDelay    = time.Second
+	trialBackoffFactor = 4
+	// minCrashTime is how long an upstream must have had a content for the content to
+	// be a possible cause of its crash. A connection that is lost earlier shows an
+	// older crash.
 	minCrashTime = 5 * time.Millisecond
-	// maxCrashTime is how long an upstream may have had a content that is likely to have
-	// ended it, its wait there included: long texts that are whole in seconds are at
-	// several upstreams that end by themselves.
+	// maxCrashTime is how long an upstream may have had a content, its time in the
+	// upstream's queue included, for the content to be a likely cause. Long
+	// generations, which take seconds, often run at upstreams that crash for other
+	// reasons.
 	maxCrashTime = time.Second
-	// sameMoment is how close together upstreams end that end for a common reason, such
-	// as the loss of a rack, as it is found here.
-	sameMoment = 150 * time.Millisecond
-	// maxApart bounds the upstreams that are noted to have ended at the same moment.
-	maxApart = 4
+	// correlationWindow is the largest time between the crashes, as found by this
+	// instance, of upstreams that crash for a common reason, such as the loss of a
+	// rack.
+	correlationWindow = 150 * time.Millisecond
+	// maxUnrelatedCrashes bounds the unrelated crashes kept for one crash.
+	maxUnrelatedCrashes = 4
 )
 
-// Decision is what may be done with a request.
+// Decision tells what may be done with a request.
 type Decision struct {
-	// Trial is the number of the trial that the request may be run as, once it is
-	// claimed; 0 if it needs none.
+	// Trial is the number of the trial that must be claimed before the request runs; 0
+	// if it needs none.
 	Trial int
-	// RefusedUntil is when it may be tried next; zero if it may be now.
+	// RefusedUntil is the time until which the request is refused; zero if it may run
+	// now.
 	RefusedUntil time.Time
 }
 
-// unexplained returns how many of a content's ends it is likely to have caused. It is
-// not where it ran too short or too long, or where another upstream that did not run it
-// ended at the same moment; nor where another content did that has ended maxEnds upstreams
-// and more than this one: so requests that were sent on together with one that crashes
-// upstreams are told from it.
-func (l *CrashTracker) unexplained(f Fingerprint) int {
-	own, n := l.Crashes(f), 0
-	for fact, s := range l.contents[f].facts {
-		if fact.Kind != Crash || s.void || !l.likely(f, s) {
+// unexplainedCrashes returns the number of crashes that a content is likely to have
+// caused. A crash does not count if the content ran too short or too long, or if an
+// upstream that did not run it crashed at the same moment. It does not count either if
+// another content was running that has at least quarantineThreshold crashes and more
+// than this one, which tells the content that crashes upstreams from those that were
+// retried together with it.
+func (t *CrashTracker) unexplainedCrashes(f Fingerprint) int {
+	own, n := t.Crashes(f), 0
+	for fact, s := range t.contents[f].facts {
+		if fact.Kind != Crash || s.invalid || !t.isLikelyCause(f, s) {
 			continue
 		}
-		explained := slices.ContainsFunc(l.under[fact.Subject], func(other Fingerprint) bool {
-			ends := l.Crashes(other)
-			return ends >= maxEnds && ends > own
+		explained := slices.ContainsFunc(t.contentsByProcess[fact.Subject], func(other Fingerprint) bool {
+			crashes := t.Crashes(other)
+			return crashes >= quarantineThreshold && crashes > own
 		})
 		if !explained {
 			n++
@@ -63,33 +70,33 @@
 	return n
 }
 
-func (l *CrashTracker) inQuarantine(f Fingerprint) bool {
-	ends := l.Crashes(f)
-	return ends >= maxEnds+maxRetries || ends >= maxEnds && l.unexplained(f) >= maxEnds
+func (t *CrashTracker) inQuarantine(f Fingerprint) bool {
+	crashes := t.Crashes(f)
+	return crashes >= quarantineThreshold+maxRetries || crashes >= quarantineThreshold && t.unexplainedCrashes(f) >= quarantineThreshold
 }
 
-// Decide returns what may be done at now with a request of a content. It answers the
-// load of a request that crashes the upstreams that run it and comes again at any
-// instance: after maxEnds of them it runs maxRetries times more at the most.
-func (l *CrashTracker) Decide(f Fingerprint, now time.Time) Decision {
-	if !l.inQuarantine(f) {
+// Decide returns what may be done at now with a request of a content. A request that
+// crashes every upstream that runs it, and arrives again at any instance, runs at most
+// maxRetries times after quarantineThreshold crashes.
+func (t *CrashTracker) Decide(f Fingerprint, now time.Time) Decision {
+	if !t.inQuarantine(f) {
 		return Decision{}
 	}
-	c, trials := l.contents[f], l.Trials(f)
-	expiresAt := c.lastAt.Add(keepFor)
+	c, trials := t.contents[f], t.Trials(f)
+	expiresAt := c.updatedAt.Add(retention)
 	switch {
 	case !now.Before(expiresAt):
 		return Decision{}
-	case l.Crashes(f)-maxEnds+trials >= maxRetries:
+	case t.Crashes(f)-quarantineThreshold+trials >= maxRetries:
 		return Decision{RefusedUntil: expiresAt}
 	}
-	pause := firstTrialAfter
+	pause := firstTrialDelay
 	for range trials {
-		pause *= trialGrowth
+		pause *= trialBackoffFactor
 	}
-	next := c.lastAt.Add(pause)
-	if c.trialAfter.After(next) {
-		next = c.trialAfter
+	next := c.updatedAt.Add(pause)
+	if c.noTrialBefore.After(next) {
+		next = c.noTrialBefore
 	}
 	if now.Before(next) {
 		return Decision{RefusedUntil: next}
@@ -97,30 +104,31 @@
 	return Decision{Trial: trials + 1}
 }
 
-// compare notes, of each content under which an upstream has ended lately, the other
-// upstreams that have ended at the same moment.
-func (l *CrashTracker) compare() {
-	for start := range l.lately {
-		for _, f := range l.under[start] {
-			s := l.contents[f].facts[Fact{Content: f, Kind: Crash, Subject: start}]
-			for other := range l.lately {
-				if len(s.apart) < maxApart && !l.ranAt(f, other) && !slices.Contains(s.apart, other) {
-					s.apart = append(s.apart, other)
+// correlateCrashes adds to each recent crash of a content the other upstream processes
+// that crashed within correlationWindow and did not run the content.
+func (t *CrashTracker) correlateCrashes() {
+	for process := range t.recentCrashes {
+		for _, f := range t.contentsByProcess[process] {
+			s := t.contents[f].facts[Fact{Content: f, Kind: Crash, Subject: process}]
+			for other := range t.recentCrashes {
+				if len(s.unrelatedCrashes) < maxUnrelatedCrashes && !t.mayHaveRunAt(f, other) && !slices.Contains(s.unrelatedCrashes, other) {
+					s.unrelatedCrashes = append(s.unrelatedCrashes, other)
 				}
 			}
 		}
 	}
 }
 
-// likely reports whether a content is likely to have caused the end that s stands for.
-// Other instances may have told since that it ran at an upstream that ended at the same
-// moment.
-func (l *CrashTracker) likely(f Fingerprint, s *standing) bool {
-	return !s.unlikely && !slices.ContainsFunc(s.apart, func(start string) bool { return !l.ranAt(f, start) })
+// isLikelyCause reports whether a content is likely to have caused the crash with state
+// s. It checks again whether the content ran at the unrelated processes, as rows from
+// other instances may have shown since that it did.
+func (t *CrashTracker) isLikelyCause(f Fingerprint, s *factState) bool {
+	return !s.unlikelyCause && !slices.ContainsFunc(s.unrelatedCrashes, func(process string) bool { return !t.mayHaveRunAt(f, process) })
 }
 
-// ranAt reports whether a content may have run at a start that has ended.
-func (l *CrashTracker) ranAt(f Fingerprint, start string) bool {
-	s := l.contents[f].facts[Fact{Content: f, Kind: Crash, Subject: start}]
-	return s != nil && !s.tooSoon
+// mayHaveRunAt reports whether a content may have run at an upstream process that
+// crashed.
+func (t *CrashTracker) mayHaveRunAt(f Fingerprint, process string) bool {
+	s := t.contents[f].facts[Fact{Content: f, Kind: Crash, Subject: process}]
+	return s != nil && !s.ranTooShort
 }
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// claimTime bounds the claim of a trial.
-	claimTime = 500 * time.Millisecond
-	// claimedPause is when a request may come back whose trial another instance has.
-	claimedPause = time.Second
+	// claimTimeout bounds the claim of a trial.
+	claimTimeout = 500 * time.Millisecond
+	// claimedRetryDelay is how long a request is refused after the claim of its trial
+	// failed.
+	claimedRetryDelay = time.Second
 )
 
-// ErrQuarantined is wrapped by a *RefusedError.
+// ErrQuarantined is the error that a *RefusedError wraps.
 var ErrQuarantined = errors.New("quarantine: the request has crashed the upstreams that ran it")
 
-// RefusedError is the error of a request that is not to be run now.
+// RefusedError is returned for a request that must not run now.
 type RefusedError struct {
-	Until time.Time // when it may be tried next
-	Err   error     // what kept it from a trial; nil for nothing
+	Until time.Time // earliest time of the next attempt
+	Err   error     // why its trial could not be claimed; nil if no claim was made
 }
 
 func (e *RefusedError) Error() string {
@@ -35,209 +36,209 @@
 	return ErrQuarantined.Error()
 }
 
-// Unwrap makes a RefusedError an ErrQuarantined.
+// Unwrap returns ErrQuarantined.
 func (e *RefusedError) Unwrap() error { return ErrQuarantined }
 
-// Outcome is how an attempt at an upstream ended.
+// Outcome is the outcome of an attempt at an upstream.
 type Outcome int
 
 // The outcomes of attempts.
 const (
-	NotRun         Outcome = iota // the upstream did not run it
-	Unreachable                   // nor does it take connections
-	Answered                      // the upstream answered it
-	Failed                        // the upstream answered with a failure
-	ConnectionLost                // its connection ended without a whole answer
-	Abandoned                     // it was given up here without an answer
+	NotRun         Outcome = iota // the upstream answered that it did not run the request
+	Unreachable                   // the upstream accepted no connection
+	Answered                      // the upstream answered the request
+	Failed                        // the upstream answered with an error
+	ConnectionLost                // the connection closed before a complete answer
+	Abandoned                     // this instance gave the request up without an answer
 )
 
-// ErrTrialClaimed is returned by a Config's Claim for a trial that is claimed already.
-var ErrTrialClaimed = errors.New("quarantine: another instance has the trial")
+// ErrTrialClaimed is returned by Config.ClaimTrial if the trial is already claimed.
+var ErrTrialClaimed = errors.New("quarantine: trial already claimed by another instance")
 
-// Event is something that a Guard found or decided, for the log.
+// Event is a finding or decision of a Guard, for logs and metrics.
 type Event struct {
-	What     string
-	Content  Fingerprint
-	Upstream string // its ID; empty for none
-	Crashes  int    // of upstreams under the content
-	// Unexplained is how many of the ends nothing else explains.
-	Unexplained int
-	Trials      int // that it has had
+	What        string // message of the log line and name of the metric
+	Content     Fingerprint
+	Upstream    string // its ID; empty for none
+	Crashes     int    // crashes of the content
+	Unexplained int    // crashes without another explanation
+	Trials      int    // trials of the content so far
 	Err         error
 }
 
-// Config configures a Guard.
+// Config holds the callbacks of a Guard.
 type Config struct {
-	// NotListening reports whether an upstream takes no connection as nothing listens at its
-	// address.
+	// NotListening reports whether nothing listens at the upstream's address.
 	NotListening func(ctx context.Context, e upstream.Entry) bool
-	// IsLeaving reports whether an upstream leaves by its own account.
+	// IsLeaving reports whether the upstream has announced that it stops.
 	IsLeaving func(e upstream.Entry) bool
-	// ClaimTrial claims a trial for this instance and returns the version of its row, or
-	// ErrClaimed.
+	// ClaimTrial claims a trial for this instance. It returns the version of its row,
+	// or ErrTrialClaimed.
 	ClaimTrial func(ctx context.Context, trial Fact) (uint64, error)
-	// Go starts a goroutine.
+	// Go runs a function in a new goroutine.
 	Go func(func() error)
-	// OnChange is told when there may be rows to write.
+	// OnChange is called when there may be rows to write.
 	OnChange func()
-	// OnEvent is told what happens.
+	// OnEvent is called with each event.
 	OnEvent func(Event)
 }
 
-// Guard lets requests through to upstreams. A nil Guard lets all through. It is safe
-// for concurrent use.
+// Guard decides whether requests may be sent to upstreams, and records the outcomes of
+// their attempts. A nil Guard lets all requests through. It is safe for concurrent use.
 type Guard struct {
 	cfg Config
-	// known is how many contents the ledger has: without any, no request's need be
-	// worked out.
-	known   atomic.Int64
-	probing atomic.Int64 // how many probes there are
-
-	mu     sync.Mutex
-	ledger *CrashTracker
-	probes map[string]*probe        // by the upstream's start
-	left   map[string][]leftRequest // by the upstream's start
-	ended  map[string]startEnds     // by the upstream's start
-	held   map[Fingerprint]bool     // contents that are known to be in quarantine, for the log
+	// contentCount is the number of contents that the tracker keeps. If it is 0,
+	// requests pass without the cost of a fingerprint.
+	contentCount atomic.Int64
+	probeCount   atomic.Int64 // probes in progress
+
+	mu          sync.Mutex
+	tracker     *CrashTracker
+	probes      map[string]*probe             // by process ID
+	abandoned   map[string][]abandonedRequest // by process ID
+	crashes     map[string]processCrashes     // by process ID
+	quarantined map[Fingerprint]bool          // contents in quarantine when the tracker last changed, to find the changes
 }
 
-// NewGuard returns a Guard that knows nothing.
+// NewGuard returns a Guard without any known crash.
 func NewGuard(cfg Config) *Guard {
-	return &Guard{cfg: cfg, ledger: NewCrashTracker(), probes: map[string]*probe{}, left: map[string][]leftRequest{},
-		ended: map[string]startEnds{}, held: map[Fingerprint]bool{}}
+	return &Guard{cfg: cfg, tracker: NewCrashTracker(), probes: map[string]*probe{}, abandoned: map[string][]abandonedRequest{},
+		crashes: map[string]processCrashes{}, quarantined: map[Fingerprint]bool{}}
 }
 
-// startOf identifies the start of an upstream.
-func startOf(e upstream.Entry) string { return e.ID + "@" + strconv.FormatInt(e.Born, 10) }
+// processID identifies the process of an upstream by the upstream's ID and start time.
+func processID(e upstream.Entry) string { return e.ID + "@" + strconv.FormatInt(e.Born, 10) }
 
-// Check returns a *RefusedError if a request of content c is not to be run at now.
+// Check returns a *RefusedError if a request of content c must not run at now.
 func (g *Guard) Check(c Content, now time.Time) error {
-	if g == nil || g.known.Load() == 0 {
+	if g == nil || g.contentCount.Load() == 0 {
 		return nil
 	}
 	f := c.Fingerprint()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.refusal(f, g.ledger.Decide(f, now))
+	return g.refusal(f, g.tracker.Decide(f, now))
 }
 
-// refusal returns the error of a request that is refused, or nil.
+// refusal returns the error for a request that d refuses, or nil.
 func (g *Guard) refusal(f Fingerprint, d Decision) error {
 	if d.RefusedUntil.IsZero() {
 		return nil
 	}
-	g.cfg.OnEvent(Event{What: "request refused", Content: f, Crashes: g.ledger.Crashes(f), Trials: g.ledger.Trials(f)})
+	g.cfg.OnEvent(Event{What: "request refused", Content: f, Crashes: g.tracker.Crashes(f), Trials: g.tracker.Trials(f)})
 	return &RefusedError{Until: d.RefusedUntil}
 }
 
-// NeedsTrial reports whether a request of content c runs as a trial only at now.
+// NeedsTrial reports whether a request of content c may run at now only as a trial.
 func (g *Guard) NeedsTrial(c Content, now time.Time) bool {
-	if g == nil || g.known.Load() == 0 {
+	if g == nil || g.contentCount.Load() == 0 {
 		return false
 	}
 	f := c.Fingerprint()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ledger.Decide(f, now).Trial > 0
+	return g.tracker.Decide(f, now).Trial > 0
 }
 
-// Begin is called before a request of content c is sent to the upstream to. It claims
-// a trial if the request needs one, and returns a *RefusedError if it may not be sent.
+// Begin must be called before a request of content c is sent to the upstream to. It
+// claims a trial if the request needs one. It returns a *RefusedError if the request
+// must not be sent.
 func (g *Guard) Begin(ctx context.Context, c Content, to upstream.Entry) (*Attempt, error) {
 	if g == nil {
 		return nil, nil
 	}
-	a := &Attempt{guard: g, content: c, to: to, begunAt: time.Now()}
-	if g.known.Load() == 0 {
+	a := &Attempt{guard: g, content: c, to: to, startedAt: time.Now()}
+	if g.contentCount.Load() == 0 {
 		return a, nil
 	}
 	f := c.Fingerprint()
 	g.mu.Lock()
-	d := g.ledger.Decide(f, time.Now())
+	d := g.tracker.Decide(f, time.Now())
 	err := g.refusal(f, d)
 	g.mu.Unlock()
 	if err != nil || d.Trial == 0 {
 		return a, err
 	}
-	err = g.claim(ctx, f, d.Trial, to)
-	a.trial, a.begunAt = d.Trial, time.Now()
+	err = g.claimTrial(ctx, f, d.Trial, to)
+	a.trial, a.startedAt = d.Trial, time.Now()
 	return a, err
 }
 
-// claim claims a trial of a content at the upstream to.
-func (g *Guard) claim(ctx context.Context, f Fingerprint, number int, to upstream.Entry) error {
-	ctx, cancel := context.WithTimeout(ctx, claimTime)
+// claimTrial claims a trial of a content, to run at the upstream to.
+func (g *Guard) claimTrial(ctx context.Context, f Fingerprint, number int, to upstream.Entry) error {
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	version, err := g.cfg.ClaimTrial(ctx, trial(f, number))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	if err == nil || errors.Is(err, ErrTrialClaimed) {
-		g.ledger.RecordTrial(f, number, version, now)
+		g.tracker.RecordTrial(f, number, version, now)
 	}
-	g.cfg.OnEvent(Event{What: "trial", Content: f, Upstream: to.ID, Crashes: g.ledger.Crashes(f), Trials: number, Err: err})
+	g.cfg.OnEvent(Event{What: "trial", Content: f, Upstream: to.ID, Crashes: g.tracker.Crashes(f), Trials: number, Err: err})
 	if err == nil {
 		return nil
 	}
-	until := now.Add(claimedPause)
-	g.ledger.PostponeTrial(f, until)
+	until := now.Add(claimedRetryDelay)
+	g.tracker.PostponeTrial(f, until)
 	return &RefusedError{Until: until, Err: err}
 }
 
-// Attempt is a request at an upstream. A nil Attempt is one of a nil Guard.
+// Attempt is a request sent to an upstream. A nil Guard returns a nil Attempt.
 type Attempt struct {
-	guard   *Guard
-	content Content
-	to      upstream.Entry
-	trial   int // its number; 0 for none
-	begunAt time.Time
+	guard     *Guard
+	content   Content
+	to        upstream.Entry
+	trial     int // number of its trial; 0 for none
+	startedAt time.Time
 }
 
-// Done tells how the attempt ended. After one that broke off it waits until it is
-// known whether the upstream has ended, if that may put the content in quarantine:
-// else the request would be sent on to the next upstream meanwhile.
+// Done records the outcome of the attempt. After a lost connection it waits until it is
+// known whether the upstream has crashed, if a crash could put the content in
+// quarantine: the request would otherwise be sent to the next upstream before that is
+// known.
 func (a *Attempt) Done(ctx context.Context, o Outcome) {
 	if a == nil {
 		return
 	}
 	switch o {
 	case Answered:
-		a.guard.heard(a)
-		a.guard.answered(a.content)
+		a.guard.noteResponse(a)
+		a.guard.onAnswered(a.content)
 	case Failed, NotRun:
-		a.guard.heard(a)
+		a.guard.noteResponse(a)
 	case ConnectionLost:
-		a.guard.broken(ctx, a)
+		a.guard.onConnectionLost(ctx, a)
 	case Abandoned:
-		a.guard.leave(a, time.Now())
+		a.guard.noteAbandoned(a, time.Now())
 	case Unreachable:
-		a.guard.unreachable(a.to)
-		a.guard.giveBack(a)
+		a.guard.onUnreachable(a.to)
+		a.guard.returnTrial(a)
 	}
 }
 
-// giveBack gives back the trial of an attempt that was not sent.
-func (g *Guard) giveBack(a *Attempt) {
+// returnTrial returns the trial of an attempt that was not sent.
+func (g *Guard) returnTrial(a *Attempt) {
 	if a.trial == 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ledger.ReturnTrial(a.content.Fingerprint(), a.trial)
-	g.settle()
+	g.tracker.ReturnTrial(a.content.Fingerprint(), a.trial)
+	g.onTrackerChanged()
 }
 
-func (g *Guard) answered(c Content) {
-	if g.known.Load() == 0 {
+func (g *Guard) onAnswered(c Content) {
+	if g.contentCount.Load() == 0 {
 		return
 	}
 	f := c.Fingerprint()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ends := g.ledger.Crashes(f)
-	if ends == 0 || !g.ledger.RecordAnswer(f) {
+	crashes := g.tracker.Crashes(f)
+	if crashes == 0 || !g.tracker.RecordAnswer(f) {
 		return
 	}
-	g.settle()
-	g.cfg.OnEvent(Event{What: "request answered", Content: f, Crashes: ends})
+	g.onTrackerChanged()
+	g.cfg.OnEvent(Event{What: "request answered", Content: f, Crashes: crashes})
 }
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -14,28 +14,28 @@
 	"github.com/zinnialadder/zinnialadder/pkg/upstream"
 )
 
-// guarded is a Guard before stand-ins.
-type guarded struct {
+// testGuard is a Guard with fake callbacks.
+type testGuard struct {
 	*quarantine.Guard
-	gone    atomic.Bool // upstreams take no connections
-	leaving atomic.Bool
-	probes  atomic.Int64
-	claims  atomic.Int64
-	claim   atomic.Pointer[error] // of claims of trials
-	group   errgroup.Group
+	down     atomic.Bool // whether upstreams refuse connections
+	leaving  atomic.Bool
+	probes   atomic.Int64
+	claims   atomic.Int64
+	claimErr atomic.Pointer[error] // returned by claims of trials; nil for none
+	group    errgroup.Group
 }
 
-func newGuarded(t *testing.T) *guarded {
-	g := &guarded{}
+func newTestGuard(t *testing.T) *testGuard {
+	g := &testGuard{}
 	g.Guard = quarantine.NewGuard(quarantine.Config{
 		NotListening: func(context.Context, upstream.Entry) bool {
 			g.probes.Add(1)
-			return g.gone.Load()
+			return g.down.Load()
 		},
 		IsLeaving: func(upstream.Entry) bool { return g.leaving.Load() },
 		ClaimTrial: func(context.Context, quarantine.Fact) (uint64, error) {
 			n := g.claims.Add(1)
-			if err := g.claim.Load(); err != nil {
+			if err := g.claimErr.Load(); err != nil {
 				return 0, *err
 			}
 			return uint64(n), nil
@@ -48,11 +48,12 @@
 	return g
 }
 
-// run runs a content at upstream i-n, and returns whether it was let through.
-func (g *guarded) run(c quarantine.Content, n int, o quarantine.Outcome) error {
+// run runs a content at upstream i-n with the given outcome, and returns the error of
+// Begin.
+func (g *testGuard) run(c quarantine.Content, n int, o quarantine.Outcome) error {
 	a, err := g.Begin(context.Background(), c, entryOf(n))
 	if err == nil {
-		time.Sleep(10 * time.Millisecond) // long enough to have been run
+		time.Sleep(10 * time.Millisecond) // longer than minCrashTime
 		a.Done(context.Background(), o)
 	}
 	return err
@@ -60,17 +61,17 @@
 
 func entryOf(n int) upstream.Entry { return upstream.Entry{ID: fmt.Sprintf("i-%d", n), Born: 1} }
 
-// settle waits until no probe is under way.
-func (g *guarded) settle() { _ = g.group.Wait() }
+// waitForProbes waits until no probe is in progress.
+func (g *testGuard) waitForProbes() { _ = g.group.Wait() }
 
-// The request that breaks off at a third upstream is refused before it is sent on,
-// although the ends before it are not yet known for sure.
-func TestThirdEndIsWaitedFor(t *testing.T) {
-	g, c := newGuarded(t), quarantine.Content{URI: "/poison"}
-	g.gone.Store(true)
+// A request that loses its connection to a third upstream is refused before it can be
+// sent to the next, although the probes of the earlier upstreams are still in progress.
+func TestThirdCrashIsAwaited(t *testing.T) {
+	g, c := newTestGuard(t), quarantine.Content{URI: "/poison"}
+	g.down.Store(true)
 	for i := range 3 {
 		if err := g.Check(c, time.Now()); err != nil {
-			t.Fatalf("refused after %d ends: %v", i, err)
+			t.Fatalf("Check after %d crashes: got %v, want nil", i, err)
 		}
 		if err := g.run(c, i, quarantine.ConnectionLost); err != nil {
 			t.Fatal(err)
@@ -78,51 +79,51 @@
 	}
 	var refused *quarantine.RefusedError
 	if err := g.Check(c, time.Now()); !errors.As(err, &refused) || !refused.Until.After(time.Now()) {
-		t.Errorf("%v after three ends", err)
+		t.Errorf("Check after three crashes: got %v, want a RefusedError for a later time", err)
 	}
 	if err := g.Check(quarantine.Content{URI: "/other"}, time.Now()); err != nil {
-		t.Errorf("another request: %v", err)
+		t.Errorf("Check of another request: got %v, want nil", err)
 	}
 }
 
-// What breaks off for another reason than its upstream's end counts for nothing:
-// connections that are reset, upstreams that leave, requests sent to one that has ended.
-func TestOtherBreaksDoNotCount(t *testing.T) {
+// Connections lost for another reason than a crash do not count: resets, upstreams that
+// leave, requests sent to an upstream that has crashed already, and error answers.
+func TestOtherFailuresDoNotCount(t *testing.T) {
 	c := quarantine.Content{URI: "/a"}
-	for name, break3 := range map[string]func(g *guarded){
-		"reset": func(g *guarded) {
+	for name, run := range map[string]func(g *testGuard){
+		"reset": func(g *testGuard) {
 			for i := range 3 {
 				_ = g.run(c, i, quarantine.ConnectionLost)
 			}
 		},
-		"leaving": func(g *guarded) {
-			g.gone.Store(true)
+		"leaving": func(g *testGuard) {
+			g.down.Store(true)
 			g.leaving.Store(true)
 			for i := range 3 {
 				_ = g.run(c, i, quarantine.ConnectionLost)
 			}
 		},
-		"sent later": func(g *guarded) {
-			g.gone.Store(true)
+		"sent later": func(g *testGuard) {
+			g.down.Store(true)
 			for i := range 3 {
 				_ = g.run(quarantine.Content{URI: "/cause"}, i, quarantine.ConnectionLost)
 			}
-			g.settle()
+			g.waitForProbes()
 			for i := range 3 {
 				_ = g.run(c, i, quarantine.ConnectionLost)
 			}
 		},
-		"answers": func(g *guarded) {
-			g.gone.Store(true)
+		"answers": func(g *testGuard) {
+			g.down.Store(true)
 			for i := range 6 {
 				_ = g.run(c, i, []quarantine.Outcome{quarantine.Failed, quarantine.NotRun}[i%2])
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newGuarded(t)
-			break3(g)
-			g.settle()
+			g := newTestGuard(t)
+			run(g)
+			g.waitForProbes()
 			if err := g.Check(c, time.Now()); err != nil {
 				t.Error(err)
 			}
@@ -130,59 +131,59 @@
 	}
 }
 
-// An upstream that answers after a connection to it broke is not asked whether it has
-// ended: each connection is paid for.
-func TestUpstreamThatAnswersIsNotProbed(t *testing.T) {
-	g := newGuarded(t)
+// An upstream that answers a request after another has lost its connection is not
+// probed, since each probe costs a connection.
+func TestAnsweringUpstreamIsNotProbed(t *testing.T) {
+	g := newTestGuard(t)
 	_ = g.run(quarantine.Content{URI: "/a"}, 1, quarantine.ConnectionLost)
 	_ = g.run(quarantine.Content{URI: "/b"}, 1, quarantine.Answered)
-	g.settle()
+	g.waitForProbes()
 	if n := g.probes.Load(); n != 0 {
-		t.Errorf("%d connections", n)
+		t.Errorf("got %d probe connections, want 0", n)
 	}
 }
 
-// A request that was given up at an upstream counts among those under which it ends
-// shortly after, found by a request that it takes no connection for.
-func TestRequestGivenUpCounts(t *testing.T) {
-	g, c := newGuarded(t), quarantine.Content{URI: "/poison"}
-	g.gone.Store(true)
+// A request that was abandoned at an upstream counts as running when the upstream is
+// found to have crashed shortly after, here by a request that gets no connection.
+func TestAbandonedRequestCounts(t *testing.T) {
+	g, c := newTestGuard(t), quarantine.Content{URI: "/poison"}
+	g.down.Store(true)
 	for i := range 3 {
 		_ = g.run(c, i, quarantine.Abandoned)
 		_ = g.run(quarantine.Content{URI: "/other"}, i, quarantine.Unreachable)
 	}
-	g.settle()
+	g.waitForProbes()
 	if err := g.Check(c, time.Now()); err == nil {
-		t.Error("let through after three ends")
+		t.Error("Check after three crashes: got nil, want an error")
 	}
 }
 
-// A trial that cannot be claimed, as another instance has it or the store is away, is
-// not run, and not asked for again at once.
-func TestTrialWithoutClaimIsNotRun(t *testing.T) {
-	for _, cause := range []error{quarantine.ErrTrialClaimed, errors.New("store away")} {
-		g, c := newGuarded(t), quarantine.Content{URI: "/poison"}
+// A trial whose claim fails, because another instance has it or the store is
+// unavailable, does not run and is not claimed again at once.
+func TestUnclaimedTrialIsNotRun(t *testing.T) {
+	for _, cause := range []error{quarantine.ErrTrialClaimed, errors.New("store unavailable")} {
+		g, c := newTestGuard(t), quarantine.Content{URI: "/poison"}
 		rows := make([]quarantine.Row, 3)
 		for i := range rows {
 			rows[i] = quarantine.Row{Fact: quarantine.Fact{Content: c.Fingerprint(), Kind: quarantine.Crash, Subject: fmt.Sprint(i)}, Version: uint64(i + 1)}
 		}
 		g.Apply(rows, true, time.Now().Add(-time.Minute))
-		g.claim.Store(&cause)
+		g.claimErr.Store(&cause)
 		for range 5 {
 			if err := g.run(c, 1, quarantine.Answered); !errors.Is(err, quarantine.ErrQuarantined) {
-				t.Errorf("%v: run", cause)
+				t.Errorf("claim fails with %q: got %v, want ErrQuarantined", cause, err)
 			}
 		}
 		if n := g.claims.Load(); n != 1 {
-			t.Errorf("%v: %d claims", cause, n)
+			t.Errorf("claim fails with %q: got %d claims, want 1", cause, n)
 		}
 	}
 }
 
-// A trial at an upstream that takes no connection is given back: all upstreams of a small
-// pool are down when the first trial may be.
-func TestTrialAtUpstreamThatIsDownIsGivenBack(t *testing.T) {
-	g, c := newGuarded(t), quarantine.Content{URI: "/bystander"}
+// A trial at an upstream that accepts no connection is returned. In a small pool all
+// upstreams may be down when the first trial is due.
+func TestTrialAtUnreachableUpstreamIsReturned(t *testing.T) {
+	g, c := newTestGuard(t), quarantine.Content{URI: "/bystander"}
 	rows := make([]quarantine.Row, 3)
 	for i := range rows {
 		rows[i] = quarantine.Row{Fact: quarantine.Fact{Content: c.Fingerprint(), Kind: quarantine.Crash, Subject: fmt.Sprint(i)}, Version: uint64(i + 1)}
@@ -190,23 +191,23 @@
 	g.Apply(rows, true, time.Now().Add(-time.Hour))
 	for n := range 5 {
 		if err := g.run(c, 1, quarantine.Unreachable); err != nil {
-			t.Fatalf("trial %d: %v", n, err)
+			t.Fatalf("trial %d: got %v, want nil", n, err)
 		}
 		pending := g.Pending(time.Now(), false)
 		if len(pending.Delete) != 1 || pending.Delete[0].Kind != quarantine.Trial {
-			t.Fatalf("rows to delete %+v, want the trial's", pending.Delete)
+			t.Fatalf("rows to delete: got %+v, want that of the trial", pending.Delete)
 		}
 		g.MarkDeleted(pending.Delete[0].Fact)
 		time.Sleep(1100 * time.Millisecond)
 	}
 	if err := g.run(c, 1, quarantine.Answered); err != nil {
-		t.Errorf("%v, want a trial left", err)
+		t.Errorf("after returned trials: got %v, want another trial", err)
 	}
 }
 
-// Without anything known a request costs neither the fingerprint of its body nor
-// memory, and one that ends well takes no lock.
-func BenchmarkGuardWithoutSuspects(b *testing.B) {
+// While no crash is known, a request needs no fingerprint of its body and no
+// allocation, and one that is answered takes no lock.
+func BenchmarkGuardWithoutCrashes(b *testing.B) {
 	var g quarantine.Guard
 	c := quarantine.Content{Method: "POST", URI: "/lookup/x", Body: make([]byte, 4096)}
 	e, ctx := entryOf(1), context.Background()
@@ -222,6 +223,6 @@
 		a.Done(ctx, quarantine.Answered)
 	}
 	if per := b.Elapsed() / time.Duration(b.N); b.N > 10000 && per > 2*time.Microsecond {
-		b.Errorf("%v a request", per)
+		b.Errorf("got %v for each request, want at most 2µs", per)
 	}
 }
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -10,78 +10,85 @@
 )
 
 const (
-	// probeTime bounds finding out whether an upstream has ended.
-	probeTime = 500 * time.Millisecond
-	// probeDelay is how long an upstream to which a connection broke is not asked
-	// whether it has ended, unless a request waits for that: mostly it goes on, and
-	// answers others meanwhile.
+	// probeTimeout bounds one probe connection.
+	probeTimeout = 500 * time.Millisecond
+	// probeDelay is the time between a lost connection and the probe of its upstream,
+	// unless a request waits for the result. Mostly the upstream still runs and answers
+	// another request within that time, which makes the probe unnecessary.
 	probeDelay = 50 * time.Millisecond
-	// staleFor is how long after an upstream was found to have ended requests may still
-	// break off that were sent on connections from before. Later ones end a start that
-	// is not known yet, as while the store is away.
-	staleFor = 100 * time.Millisecond
-	// endedFor is how long an upstream's ends are remembered apart from the ledger.
-	endedFor = 10 * time.Minute
-	// leftFor is how long a request counts as at an upstream after it was given up here
-	// without an answer, as the upstream may go on with it.
-	leftFor = 2 * time.Second
-	// maxLeft bounds the requests that count so at one upstream.
-	maxLeft = 64
+	// staleConnectionWindow is how long after a crash was found requests may still be
+	// sent on connections to the crashed process and be lost to that crash. The loss of
+	// a request sent later shows the crash of a new process that is not known yet, as
+	// happens while the store is unavailable.
+	staleConnectionWindow = 100 * time.Millisecond
+	// crashRetention is how long the crashes of an upstream process are kept to tell
+	// several crashes under one process ID apart.
+	crashRetention = 10 * time.Minute
+	// abandonedRetention is how long an abandoned request counts as running at its
+	// upstream, which may continue with it.
+	abandonedRetention = 2 * time.Second
+	// maxAbandoned bounds the abandoned requests kept for one upstream.
+	maxAbandoned = 64
 )
 
-// probe is a check of whether an upstream has ended, which all requests share whose
-// connections to it broke meanwhile.
+// probe is a check of whether an upstream has crashed. All requests that lose their
+// connection to the upstream meanwhile share it.
 type probe struct {
-	begunAt  time.Time
-	lost     []Interrupted
-	urgent   chan struct{} // closed once a request waits for it
-	done     chan struct{}
-	hurried  bool
-	answered bool // the upstream has answered a request that was sent later
+	startedAt   time.Time
+	interrupted []Interrupted
+	waiting     chan struct{} // closed once a request waits for the result
+	done        chan struct{}
+	expedited   bool
+	answered    bool // whether the upstream has answered a request sent after startedAt
 }
 
-// hurry has the probe made at once.
-func (p *probe) hurry() {
-	if !p.hurried {
-		p.hurried = true
-		close(p.urgent)
+// expedite makes the probe run without waiting for probeDelay.
+func (p *probe) expedite() {
+	if !p.expedited {
+		p.expedited = true
+		close(p.waiting)
 	}
 }
 
-type leftRequest struct {
+// abandonedRequest is a request that was given up at an upstream and counts as running
+// there until a time.
+type abandonedRequest struct {
 	content Fingerprint
 	sentAt  time.Time
-	till    time.Time
+	until   time.Time
 }
 
-// heard tells that a's upstream has answered.
-func (g *Guard) heard(a *Attempt) {
-	if g.probing.Load() == 0 {
+// noteResponse records that the upstream of a has answered, which ends a probe that
+// began before a was sent.
+func (g *Guard) noteResponse(a *Attempt) {
+	if g.probeCount.Load() == 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p := g.probes[startOf(a.to)]; p != nil && a.begunAt.After(p.begunAt) {
+	if p := g.probes[processID(a.to)]; p != nil && a.startedAt.After(p.startedAt) {
 		p.answered = true
 	}
 }
 
-func (g *Guard) broken(ctx context.Context, a *Attempt) {
+// onConnectionLost has the upstream of a probed. It waits for all probes that concern
+// the content of a if their crashes could put it in quarantine.
+func (g *Guard) onConnectionLost(ctx context.Context, a *Attempt) {
 	if g.cfg.IsLeaving(a.to) {
-		return // it ends for a reason of its own
+		return // a planned stop is no crash
 	}
-	f, ranFor := a.content.Fingerprint(), time.Since(a.begunAt)
+	f, ranFor := a.content.Fingerprint(), time.Since(a.startedAt)
 	g.mu.Lock()
-	if g.ended[startOf(a.to)].recent(a.begunAt) {
+	if g.crashes[processID(a.to)].isRecent(a.startedAt) {
 		g.mu.Unlock()
 		return
 	}
-	g.probe(a.to, Interrupted{Content: f, RanFor: ranFor})
-	probes := g.probesFor(f)
-	wait := g.ledger.Crashes(f)+len(probes) >= maxEnds
+	g.startProbe(a.to, Interrupted{Content: f, RanFor: ranFor})
+	probes := g.probesOf(f)
+	wait := g.tracker.Crashes(f)+len(probes) >= quarantineThreshold
 	for _, p := range probes {
 		if wait {
-			p.hurry()
+			p.expedite()
 		}
 	}
 	g.mu.Unlock()
@@ -96,41 +103,43 @@
 	}
 }
 
-// probesFor returns the probes whose outcome concerns a content.
-func (g *Guard) probesFor(f Fingerprint) []*probe {
+// probesOf returns the probes whose result concerns a content.
+func (g *Guard) probesOf(f Fingerprint) []*probe {
 	var out []*probe
 	for _, p := range g.probes {
-		if slices.ContainsFunc(p.lost, func(l Interrupted) bool { return l.Content == f }) {
+		if slices.ContainsFunc(p.interrupted, func(c Interrupted) bool { return c.Content == f }) {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// probe finds out whether an upstream has ended, and has its end count against what was
-// lost there.
-func (g *Guard) probe(to upstream.Entry, lost ...Interrupted) {
-	start := startOf(to)
-	if p := g.probes[start]; p != nil {
-		p.lost = append(p.lost, lost...)
+// startProbe starts a probe of an upstream, or joins the one in progress. If the
+// upstream has crashed, the crash counts against the interrupted contents.
+func (g *Guard) startProbe(to upstream.Entry, interrupted ...Interrupted) {
+	process := processID(to)
+	if p := g.probes[process]; p != nil {
+		p.interrupted = append(p.interrupted, interrupted...)
 		return
 	}
-	p := &probe{begunAt: time.Now(), lost: lost, urgent: make(chan struct{}), done: make(chan struct{})}
-	g.probes[start] = p
-	g.probing.Add(1)
+	p := &probe{startedAt: time.Now(), interrupted: interrupted, waiting: make(chan struct{}), done: make(chan struct{})}
+	g.probes[process] = p
+	g.probeCount.Add(1)
 	g.cfg.Go(func() error {
-		g.probed(to, p, g.isGone(to, p))
+		g.finishProbe(to, p, g.runProbe(to, p))
 		return nil
 	})
 }
 
-// isGone carries out a probe.
-func (g *Guard) isGone(to upstream.Entry, p *probe) bool {
+// runProbe reports whether nothing listens at the upstream's address. It waits for
+// probeDelay, or until the probe is expedited, and makes no connection if the upstream
+// has answered meanwhile.
+func (g *Guard) runProbe(to upstream.Entry, p *probe) bool {
 	t := time.NewTimer(probeDelay)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-p.urgent:
+	case <-p.waiting:
 	}
 	g.mu.Lock()
 	answered := p.answered
@@ -138,89 +147,90 @@
 	if answered {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	return g.cfg.NotListening(ctx, to)
 }
 
-// probed tells the outcome of a probe.
-func (g *Guard) probed(to upstream.Entry, p *probe, gone bool) {
+// finishProbe records the result of a probe.
+func (g *Guard) finishProbe(to upstream.Entry, p *probe, crashed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	defer close(p.done)
-	start, now := startOf(to), time.Now()
-	delete(g.probes, start)
-	g.probing.Add(-1)
-	if !gone {
+	process, now := processID(to), time.Now()
+	delete(g.probes, process)
+	g.probeCount.Add(-1)
+	if !crashed {
 		return
 	}
-	end := g.endedAt(start, now)
-	lost := p.lost
-	for _, l := range g.left[start] {
-		if now.Before(l.till) {
-			lost = append(lost, Interrupted{Content: l.content, RanFor: now.Sub(l.sentAt)})
+	crash := g.crashID(process, now)
+	interrupted := p.interrupted
+	for _, r := range g.abandoned[process] {
+		if now.Before(r.until) {
+			interrupted = append(interrupted, Interrupted{Content: r.content, RanFor: now.Sub(r.sentAt)})
 		}
 	}
-	delete(g.left, start)
-	for _, f := range g.ledger.RecordCrash(lost, end, now) {
-		g.cfg.OnEvent(Event{What: "upstream ended under a request", Content: f, Upstream: to.ID, Crashes: g.ledger.Crashes(f), Unexplained: g.ledger.unexplained(f)})
+	delete(g.abandoned, process)
+	for _, f := range g.tracker.RecordCrash(interrupted, crash, now) {
+		g.cfg.OnEvent(Event{What: "upstream ended under a request", Content: f, Upstream: to.ID, Crashes: g.tracker.Crashes(f), Unexplained: g.tracker.unexplainedCrashes(f)})
 	}
-	g.settle()
+	g.onTrackerChanged()
 }
 
-// startEnds are the ends of what an upstream's entry tells as one start.
-type startEnds struct {
+// processCrashes holds the crashes found under one process ID. There may be several, as
+// the ID of a restarted upstream is learned only from the store.
+type processCrashes struct {
 	lastAt time.Time
 	count  int
 }
 
-// recent reports whether a request that was sent at a time may have met the last end,
-// and not a start after it.
-func (e startEnds) recent(sentAt time.Time) bool {
-	return sentAt.After(e.lastAt) && sentAt.Sub(e.lastAt) < staleFor
+// isRecent reports whether a request sent at sentAt may have been lost to the last
+// crash rather than to one of a later process.
+func (e processCrashes) isRecent(sentAt time.Time) bool {
+	return sentAt.After(e.lastAt) && sentAt.Sub(e.lastAt) < staleConnectionWindow
 }
 
-// endedAt takes an end of a start, found at now, and returns its name among all ends.
-// It forgets those of long ago.
-func (g *Guard) endedAt(start string, now time.Time) string {
-	for other, e := range g.ended {
-		if now.Sub(e.lastAt) > endedFor {
-			delete(g.ended, other)
+// crashID records a crash of a process, found at now, and returns an ID that is unique
+// among all crashes. It also drops the crashes older than crashRetention.
+func (g *Guard) crashID(process string, now time.Time) string {
+	for other, e := range g.crashes {
+		if now.Sub(e.lastAt) > crashRetention {
+			delete(g.crashes, other)
 		}
 	}
-	e := g.ended[start]
-	if e.count == 0 || now.Sub(e.lastAt) >= staleFor {
-		e = startEnds{lastAt: now, count: e.count + 1}
-		g.ended[start] = e
+	e := g.crashes[process]
+	if e.count == 0 || now.Sub(e.lastAt) >= staleConnectionWindow {
+		e = processCrashes{lastAt: now, count: e.count + 1}
+		g.crashes[process] = e
 	}
 	if e.count == 1 {
-		return start
+		return process
 	}
-	return start + "~" + strconv.Itoa(e.count)
+	return process + "~" + strconv.Itoa(e.count)
 }
 
-// leave keeps in mind a request that was given up at an upstream, which may go on
+// noteAbandoned records a request that was given up at an upstream, which may continue
 // with it.
-func (g *Guard) leave(a *Attempt, now time.Time) {
+func (g *Guard) noteAbandoned(a *Attempt, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for start, ls := range g.left {
-		if !now.Before(ls[len(ls)-1].till) {
-			delete(g.left, start)
+	for process, requests := range g.abandoned {
+		if !now.Before(requests[len(requests)-1].until) {
+			delete(g.abandoned, process)
 		}
 	}
-	start := startOf(a.to)
-	if len(g.left[start]) < maxLeft {
-		g.left[start] = append(g.left[start], leftRequest{content: a.content.Fingerprint(), sentAt: a.begunAt, till: now.Add(leftFor)})
+	process := processID(a.to)
+	if len(g.abandoned[process]) < maxAbandoned {
+		g.abandoned[process] = append(g.abandoned[process], abandonedRequest{content: a.content.Fingerprint(), sentAt: a.startedAt, until: now.Add(abandonedRetention)})
 	}
 }
 
-// unreachable has an upstream checked that takes no connection, if a request was
-// given up there lately.
-func (g *Guard) unreachable(to upstream.Entry) {
+// onUnreachable has an upstream that accepts no connection probed if a request was
+// abandoned there lately.
+func (g *Guard) onUnreachable(to upstream.Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.left[startOf(to)]) > 0 && !g.cfg.IsLeaving(to) {
-		g.probe(to)
+	if len(g.abandoned[processID(to)]) > 0 && !g.cfg.IsLeaving(to) {
+		g.startProbe(to)
 	}
 }
--- a/pkg/quarantine/rows.go
+++ b/pkg/quarantine/rows.go
@@ -2,75 +2,76 @@
 
 import "time"
 
-// Apply takes rows read at now. Reset means that they are all that there are.
-func (g *Guard) Apply(rows []Row, reset bool, now time.Time) {
+// Apply takes rows read at now. full means that rows are all the rows of the store.
+func (g *Guard) Apply(rows []Row, full bool, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(rows) == 0 && g.ledger.Len() == 0 {
+	if len(rows) == 0 && g.tracker.Len() == 0 {
 		return
 	}
-	g.ledger.Apply(rows, reset, now)
-	g.settle()
+	g.tracker.Apply(rows, full, now)
+	g.onTrackerChanged()
 }
 
-// settle is called after the ledger has changed.
-func (g *Guard) settle() {
-	g.known.Store(int64(g.ledger.Len()))
-	for f := range g.held {
-		if !g.ledger.inQuarantine(f) {
-			delete(g.held, f)
-			g.cfg.OnEvent(Event{What: "quarantine lifted", Content: f, Crashes: g.ledger.Crashes(f)})
+// onTrackerChanged must be called, with g.mu held, after the tracker has changed. It
+// sends events for contents that entered or left quarantine, and calls Config.OnChange.
+func (g *Guard) onTrackerChanged() {
+	g.contentCount.Store(int64(g.tracker.Len()))
+	for f := range g.quarantined {
+		if !g.tracker.inQuarantine(f) {
+			delete(g.quarantined, f)
+			g.cfg.OnEvent(Event{What: "quarantine lifted", Content: f, Crashes: g.tracker.Crashes(f)})
 		}
 	}
-	for f := range g.ledger.contents {
-		if !g.held[f] && g.ledger.inQuarantine(f) {
-			g.held[f] = true
-			g.cfg.OnEvent(Event{What: "request quarantined", Content: f, Crashes: g.ledger.Crashes(f), Unexplained: g.ledger.unexplained(f), Trials: g.ledger.Trials(f)})
+	for f := range g.tracker.contents {
+		if !g.quarantined[f] && g.tracker.inQuarantine(f) {
+			g.quarantined[f] = true
+			g.cfg.OnEvent(Event{What: "request quarantined", Content: f, Crashes: g.tracker.Crashes(f), Unexplained: g.tracker.unexplainedCrashes(f), Trials: g.tracker.Trials(f)})
 		}
 	}
 	g.cfg.OnChange()
 }
 
-// Pending is what is to be written to the store, and when there may be more.
+// Pending holds the rows to write to the store.
 type Pending struct {
 	Put    []Row
 	Delete []Row
-	NextAt time.Time // zero for when the Guard tells that it has changed
+	NextAt time.Time // when more rows are due; zero if only the next Config.OnChange tells
 }
 
-// Pending returns what is to be written at now. Rows of contents that are not
-// remembered any longer are left out unless sweep is set.
+// Pending returns the rows to write at now. It includes the rows of contents whose
+// retention has passed only if sweep is set.
 func (g *Guard) Pending(now time.Time, sweep bool) Pending {
-	if g.known.Load() == 0 {
+	if g.contentCount.Load() == 0 {
 		return Pending{}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p := Pending{Put: g.ledger.DueRows(now), Delete: g.ledger.InvalidRows(), NextAt: g.ledger.nextShare(now)}
+	p := Pending{Put: g.tracker.DueRows(now), Delete: g.tracker.InvalidRows(), NextAt: g.tracker.nextShare(now)}
 	if sweep {
-		p.Delete = append(p.Delete, g.ledger.ExpiredRows(now)...)
+		p.Delete = append(p.Delete, g.tracker.ExpiredRows(now)...)
 	}
 	return p
 }
 
-// MarkShared tells that a fact has a row of the version given.
+// MarkShared records that a fact has a row with the given version.
 func (g *Guard) MarkShared(fact Fact, version uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ledger.MarkShared(fact, version, time.Now())
+	g.tracker.MarkShared(fact, version, time.Now())
 }
 
-// MarkDeleted tells that the row of a fact is gone.
+// MarkDeleted records that the row of a fact is deleted.
 func (g *Guard) MarkDeleted(fact Fact) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ledger.Apply([]Row{{Fact: fact, Deleted: true}}, false, time.Time{})
-	g.settle()
+	g.tracker.Apply([]Row{{Fact: fact, Deleted: true}}, false, time.Time{})
+	g.onTrackerChanged()
 }
 
-// Counts returns how many contents are known, and how many of them are in quarantine.
+// Counts returns the number of contents kept and how many of them are in quarantine.
 func (g *Guard) Counts() (contents, quarantined int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ledger.Len(), len(g.held)
+	return g.tracker.Len(), len(g.quarantined)
 }
