--- a/pkg/scaling/scaling.go
+++ b/pkg/scaling/scaling.go
@@ -1,5 +1,5 @@
-// Package scaling decides how many engines are ordered for a pool, in which data
-// centre and of which kind. It does no I/O.
+// Package scaling decides how many engines are ordered for a pool, in which data centre
+// and of which kind. It does no I/O.
 package scaling
 
 import (
@@ -12,94 +12,96 @@
 	"github.com/zinnialadder/zinnialadder/pkg/routetable"
 )
 
-// Limits are what the operator allows, and what an engine serves.
+// Limits holds the operator's scaling settings of a pool and the capacity of its
+// engines.
 type Limits struct {
 	routetable.Scaling
 	Slots int // requests that an engine batches
 }
 
-// Placement is where engines are ordered: a data centre, and a kind of engine.
+// Placement is a data centre and a kind of engine.
 type Placement struct {
 	DataCentre string
-	Spot       bool // may be taken back, all of a data centre at once
+	Spot       bool // spot capacity, which the provider may reclaim from a whole data centre at once
 }
 
-// Order is an order for a number of engines in a place.
+// Order asks the provider for a total number of engines in a placement.
 type Order struct {
 	Pool string
 	Placement
 	Engines int
 }
 
-// PoolState is what is known of a pool at a time.
+// PoolState is the observed state of a pool at a time.
 type PoolState struct {
 	At      time.Time
-	Engines map[Placement]int // that stay
-	// Items is how many texts the open submissions of the pool hold.
+	Engines map[Placement]int // engines that do not drain
+	// Items is the number of items of the pool's open submissions.
 	Items int
 }
 
 const (
-	// SlotsPerItem is how many slots there are to be for each text of the open
-	// submissions, as far as the operator's terms allow.
+	// SlotsPerItem is the number of slots to provide for each item of the open
+	// submissions, as far as the operator's limits allow.
 	SlotsPerItem = 0.75
-	// peakTime is how long the work that was last seen at its most counts: engines
-	// are not given back in the pauses of trainers.
-	peakTime = 20 * time.Second
-	// refusedPause is how long a place is left alone that had no engine.
-	refusedPause = 3 * time.Second
-	// lostAfter is how long after its boot time an engine that was ordered and was
-	// never seen is ordered again: its entry takes a heartbeat or two.
-	lostAfter = 4 * time.Second
-	// retryPause is the pause before an order that got no answer is given again: it
-	// may have been carried out, or be soon.
-	retryPause = 1500 * time.Millisecond
+	// peakHold is how long the largest need is held after it was last reached, so that
+	// engines are not released while trainers pause.
+	peakHold = 20 * time.Second
+	// noCapacityDelay is the pause before the next order for a placement that had no
+	// engine available.
+	noCapacityDelay = 3 * time.Second
+	// bootMargin is added to the boot time before an ordered engine that was never seen
+	// is ordered again. Its registration takes one or two heartbeats.
+	bootMargin = 4 * time.Second
+	// retryDelay is the pause after an order that got no answer. It may have been
+	// carried out, or be carried out later.
+	retryDelay = 1500 * time.Millisecond
 )
 
-// Planner is what the holder of the duty remembers of a pool. Its zero value
-// remembers nothing.
+// Planner holds what the instance with the scaling duty remembers of a pool. Its zero
+// value is ready to use.
 type Planner struct {
-	ordered map[Placement]ordered
-	peak    int // engines that the work needed at its most, lately
-	peakAt  time.Time
+	orders map[Placement]placementOrder // last orders
+	peak   int                          // largest number of engines needed lately
+	peakAt time.Time
 }
 
-// ordered is what was last ordered in a place.
-type ordered struct {
+// placementOrder is the last order for a placement.
+type placementOrder struct {
 	engines   int
 	at        time.Time
-	seen      bool      // all of them were there since
-	notBefore time.Time // of the next order
+	seen      bool      // whether all of its engines have been observed since
+	notBefore time.Time // earliest time of the next order
 }
 
-// Decide returns the orders to give now.
+// Decide returns the orders to send now.
 //
-// The engines that are there without an order stay as they are. Where the texts of
-// open submissions need more slots, engines that may be taken back are ordered for
-// the rest, spread over the data centres so that the loss of one costs a part only,
-// the cheaper first. It answers four loads. Work that comes is served by engines
-// that boot meanwhile. Work that pauses keeps its engines, as it comes back sooner
-// than they would. Of work that has gone they are given back. Where a data centre
-// takes its engines back and has none, the others provide its share at once, and keep
-// it, so that orders do not go back and forth while it comes and goes.
-func (p *Planner) Decide(pool string, t Limits, s PoolState) []Order {
-	if t.Max <= 0 || t.Slots <= 0 || t.SpotPrice <= 0 {
+// Engines that run without an order are left alone. If the items of open submissions
+// need more slots, Decide orders spot engines for the rest. It distributes them over
+// the data centres, the cheaper first, so that the loss of one data centre costs only a
+// part of them. New work is served as the engines boot. While work pauses, its engines
+// are kept, since it resumes sooner than new engines would boot; when it has gone for
+// longer than peakHold they are released. If a data centre reclaims its engines and has
+// none, the others provide its share at once and keep it, so that orders do not
+// alternate while its capacity comes and goes.
+func (p *Planner) Decide(pool string, l Limits, s PoolState) []Order {
+	if l.Max <= 0 || l.Slots <= 0 || l.SpotPrice <= 0 {
 		return nil
 	}
-	if p.ordered == nil {
-		p.ordered = map[Placement]ordered{}
+	if p.orders == nil {
+		p.orders = map[Placement]placementOrder{}
 	}
 	var out []Order
-	for place, n := range p.spread(t, s) {
-		o, known := p.ordered[place]
-		there := s.Engines[place]
-		o.seen = o.seen || known && there >= o.engines
+	for place, n := range p.distribute(l, s) {
+		o, known := p.orders[place]
+		running := s.Engines[place]
+		o.seen = o.seen || known && running >= o.engines
 		if known {
-			p.ordered[place] = o
+			p.orders[place] = o
 		}
-		lost := there < n && (o.seen || s.At.Sub(o.at) >= t.BootTime+lostAfter)
+		lost := running < n && (o.seen || s.At.Sub(o.at) >= l.BootTime+bootMargin)
 		switch {
-		case s.At.Before(o.notBefore), !known && n <= there, known && n == o.engines && !lost:
+		case s.At.Before(o.notBefore), !known && n <= running, known && n == o.engines && !lost:
 			continue
 		}
 		out = append(out, Order{Pool: pool, Placement: place, Engines: n})
@@ -110,38 +112,39 @@
 	return out
 }
 
-// wanted returns how many engines the pool is to have.
-func (p *Planner) wanted(t Limits, s PoolState) int {
-	need := int(math.Ceil(float64(s.Items) * SlotsPerItem / float64(t.Slots)))
-	if need >= p.peak || s.At.Sub(p.peakAt) > peakTime {
+// desiredEngines returns the number of engines that the pool needs, held at its recent
+// peak.
+func (p *Planner) desiredEngines(l Limits, s PoolState) int {
+	need := int(math.Ceil(float64(s.Items) * SlotsPerItem / float64(l.Slots)))
+	if need >= p.peak || s.At.Sub(p.peakAt) > peakHold {
 		p.peak, p.peakAt = need, s.At
 	}
 	return p.peak
 }
 
-// spread returns how many engines that may be taken back each data centre is to
-// have: what was ordered there, and more or fewer where that is not what is wanted.
-func (p *Planner) spread(t Limits, s PoolState) map[Placement]int {
-	centres := slices.SortedFunc(maps.Keys(t.Prices), func(a, b string) int {
-		return cmp.Or(cmp.Compare(t.Prices[a], t.Prices[b]), cmp.Compare(a, b))
+// distribute returns the number of spot engines for each data centre. It starts from
+// the last orders and adds or removes engines until the total is the desired one.
+func (p *Planner) distribute(l Limits, s PoolState) map[Placement]int {
+	centres := slices.SortedFunc(maps.Keys(l.Prices), func(a, b string) int {
+		return cmp.Or(cmp.Compare(l.Prices[a], l.Prices[b]), cmp.Compare(a, b))
 	})
-	left := p.wanted(t, s)
+	missing := p.desiredEngines(l, s)
 	out := map[Placement]int{}
 	for _, dc := range centres {
 		place := Placement{DataCentre: dc, Spot: true}
 		regular := s.Engines[Placement{DataCentre: dc}]
-		out[place] = min(p.ordered[place].engines, max(t.Max-regular, 0))
-		left -= regular + out[place]
+		out[place] = min(p.orders[place].engines, max(l.Max-regular, 0))
+		missing -= regular + out[place]
 	}
-	for ; left > 0; left-- {
-		dc, ok := p.emptiest(centres, out, t, s)
+	for ; missing > 0; missing-- {
+		dc, ok := p.leastAssigned(centres, out, l, s)
 		if !ok {
 			break
 		}
 		out[Placement{DataCentre: dc, Spot: true}]++
 	}
-	for ; left < 0; left++ {
-		dc, ok := fullest(centres, out)
+	for ; missing < 0; missing++ {
+		dc, ok := mostAssigned(centres, out)
 		if !ok {
 			break
 		}
@@ -150,23 +153,24 @@
 	return out
 }
 
-// emptiest returns the data centre that is to have the fewest engines of those that
-// may have more, the cheapest of these.
-func (p *Planner) emptiest(centres []string, spot map[Placement]int, t Limits, s PoolState) (string, bool) {
-	best, fewest := "", t.Max
+// leastAssigned returns the data centre with the fewest engines, spot and regular, of
+// those that may get more, and of several the cheapest. It reports false if there is
+// none.
+func (p *Planner) leastAssigned(centres []string, spot map[Placement]int, l Limits, s PoolState) (string, bool) {
+	best, fewest := "", l.Max
 	for _, dc := range centres {
 		place := Placement{DataCentre: dc, Spot: true}
 		n := s.Engines[Placement{DataCentre: dc}] + spot[place]
-		if n < fewest && !s.At.Before(p.ordered[place].notBefore) {
+		if n < fewest && !s.At.Before(p.orders[place].notBefore) {
 			best, fewest = dc, n
 		}
 	}
 	return best, best != ""
 }
 
-// fullest returns the data centre that is to have the most engines that may be given
-// back, the dearest of these.
-func fullest(centres []string, spot map[Placement]int) (string, bool) {
+// mostAssigned returns the data centre with the most spot engines, and of several the
+// most expensive. It reports false if there are none.
+func mostAssigned(centres []string, spot map[Placement]int) (string, bool) {
 	best, most := "", 0
 	for _, dc := range centres {
 		if n := spot[Placement{DataCentre: dc, Spot: true}]; n > 0 && n >= most {
@@ -176,26 +180,27 @@
 	return best, best != ""
 }
 
-// Outcome is what became of an order.
+// Outcome is the result of an order.
 type Outcome int
 
 // The outcomes of an order.
 const (
-	Unknown    Outcome = iota // it may be carried out, also later
-	Accepted                  // it is being carried out
-	NoCapacity                // there are no such engines now
+	Unknown    Outcome = iota // no answer: the order may be carried out now or later
+	Accepted                  // the order is being carried out
+	NoCapacity                // the data centre has no such engines now
 )
 
-// RecordOutcome tells how an order ended at at, where there engines of its kind are there.
-func (p *Planner) RecordOutcome(o Order, outcome Outcome, there int, at time.Time) {
+// RecordOutcome records the outcome of o, received at at. running is the number of
+// engines that run in the order's placement.
+func (p *Planner) RecordOutcome(o Order, outcome Outcome, running int, at time.Time) {
 	switch outcome {
 	case Accepted:
-		p.ordered[o.Placement] = ordered{engines: o.Engines, at: at}
+		p.orders[o.Placement] = placementOrder{engines: o.Engines, at: at}
 	case NoCapacity:
-		p.ordered[o.Placement] = ordered{engines: min(there, o.Engines), at: at, notBefore: at.Add(refusedPause)}
+		p.orders[o.Placement] = placementOrder{engines: min(running, o.Engines), at: at, notBefore: at.Add(noCapacityDelay)}
 	case Unknown:
-		was := p.ordered[o.Placement]
-		was.notBefore = at.Add(retryPause)
-		p.ordered[o.Placement] = was
+		last := p.orders[o.Placement]
+		last.notBefore = at.Add(retryDelay)
+		p.orders[o.Placement] = last
 	}
 }
