--- a/pkg/shard/deliver.go
+++ b/pkg/shard/deliver.go
@@ -14,19 +14,19 @@
 	"github.com/zinnialadder/zinnialadder/pkg/step"
 )
 
-// unrecordedPause is the pause before a group's record is tried again.
-const unrecordedPause = 200 * time.Millisecond
+// recordRetryDelay is the pause before recording a group's delivery is tried again.
+const recordRetryDelay = 200 * time.Millisecond
 
-// ack is how the delivery of a recorded group ended.
-type ack struct {
-	group   int
-	row     platform.Op // deletes the delivery's record
-	failed  bool        // the trainer did not answer
-	learned bool        // the trainer holds it; else it found it too old
+// deliveryResult is the result of delivering a recorded group.
+type deliveryResult struct {
+	group    int
+	recordOp platform.Op // deletes the record of the delivery, or checks that there is none
+	failed   bool        // whether the trainer did not answer
+	accepted bool        // whether the trainer holds the group; if not, it found the group too old
 }
 
-// deliver records a complete group, its shard's progress and the condition
-// that the step is open in one transaction, and then sends the samples.
+// deliver records a complete group and the progress of the shard in one transaction, on
+// condition that the step is open, and then starts the delivery of the samples.
 func (r *run) deliver(ctx context.Context, e step.Deliver) error {
 	renewal, err := r.renewal(r.progress.Record(e.Group))
 	if err != nil {
@@ -38,16 +38,16 @@
 	var ce *platform.ConflictError
 	switch {
 	case err == nil && version > 0:
-		r.held.Fencing, r.progress = version, r.progress.Record(e.Group)
+		r.heldLease.Fencing, r.progress = version, r.progress.Record(e.Group)
 		r.step.Reduce(step.Recorded{Group: e.Group})
 		r.send(ctx, e.Group, d, version)
 		return nil
 	case errors.As(err, &ce) && ce.Key == open.Key:
 		return errStepClosed
-	case errors.As(err, &ce) && ce.Key == r.keeper.Name:
-		return errShardLost
+	case errors.As(err, &ce) && ce.Key == r.leaseManager.Name:
+		return errLeaseLost
 	}
-	r.step.Reduce(step.RecordFailed{Group: e.Group, RetryAt: r.cfg.Clock.Now().Add(unrecordedPause)})
+	r.step.Reduce(step.RecordFailed{Group: e.Group, RetryAt: r.cfg.Clock.Now().Add(recordRetryDelay)})
 	if errors.Is(err, delivery.ErrTooStale) {
 		r.cfg.Stale.Inc(int64(len(e.Samples)))
 		return nil
@@ -55,27 +55,27 @@
 	return r.reread(ctx)
 }
 
-// deliveryID names the delivery of a group: the same in every step that the
-// group is submitted in.
+// deliveryID returns the ID of a group's delivery. It does not contain the step's ID,
+// so that a group submitted again in another step has the same one.
 func (r *run) deliveryID(group int) string {
 	return fmt.Sprintf("%s.%s.%s", r.spec.Customer, r.spec.Entry, r.spec.Groups[group].ID)
 }
 
-// renewal returns the operation that renews the shard's lease with progress.
+// renewal returns the operation that renews the shard's lease with progress p.
 func (r *run) renewal(p step.Progress) (platform.Op, error) {
 	data, err := json.Marshal(p)
 	if err != nil {
 		return platform.Op{}, err
 	}
-	return r.keeper.RenewOp(r.held, data)
+	return r.leaseManager.RenewOp(r.heldLease, data)
 }
 
-// reread finds out after a write of unknown outcome what the table holds: the
-// lease is taken again, with the progress kept in it. Groups found recorded
-// are sent by resend.
+// reread reads the table after a write of unknown outcome: it acquires the lease again,
+// with the progress stored in it. The groups found to be recorded are delivered by
+// resend.
 func (r *run) reread(ctx context.Context) error {
 	if err := r.renew(ctx); errors.Is(err, lease.ErrHeld) {
-		return errShardLost
+		return errLeaseLost
 	}
 	for _, g := range r.progress.Recorded {
 		r.step.Reduce(step.Recorded{Group: g})
@@ -84,18 +84,18 @@
 	return nil
 }
 
-// send delivers a recorded group and tells the loop how that ended. Once the
-// loop is over, what the trainer holds is only forgotten here; the next
-// holder finds the record gone.
+// send delivers a recorded group in the background and sends the result to the loop. If
+// the loop has ended, it deletes the record itself after a successful delivery, and the
+// next lease holder finds the record gone.
 func (r *run) send(ctx context.Context, group int, d delivery.Record, version uint64) {
 	r.sending[group] = true
 	r.cfg.Samples.RunAsync(ctx, d, func(ctx context.Context) error {
-		learned, err := r.cfg.Samples.Deliver(ctx, d)
-		a := ack{group: group, failed: err != nil, learned: learned, row: platform.Delete(d.Key, version)}
+		accepted, err := r.cfg.Samples.Deliver(ctx, d)
+		a := deliveryResult{group: group, failed: err != nil, accepted: accepted, recordOp: platform.Delete(d.Key, version)}
 		select {
-		case r.acked <- a:
+		case r.delivered <- a:
 			return err
-		case <-r.over:
+		case <-r.loopDone:
 		}
 		if err != nil {
 			return err
@@ -104,9 +104,9 @@
 	})
 }
 
-// resend sends the recorded groups that no delivery of this run is under way
-// for: those of the holder before, or whose delivery or record's answer was
-// lost. A group whose record is gone was delivered by the sweeper.
+// resend delivers the recorded groups that this run is not delivering: those of the
+// previous lease holder, and those whose delivery failed or whose transaction got no
+// answer. A group without a record was delivered by the sweeper.
 func (r *run) resend(ctx context.Context) {
 	for _, g := range r.progress.Recorded {
 		if r.sending[g] {
@@ -116,7 +116,7 @@
 		switch {
 		case errors.Is(err, platform.ErrNotFound):
 			r.sending[g] = true
-			r.acks = append(r.acks, ack{group: g, learned: true, row: platform.Check(delivery.Key(r.deliveryID(g)), 0)})
+			r.unrecordedResults = append(r.unrecordedResults, deliveryResult{group: g, accepted: true, recordOp: platform.Check(delivery.Key(r.deliveryID(g)), 0)})
 		case err == nil:
 			d := delivery.Record{Key: row.Key}
 			if json.Unmarshal(row.Value, &d) == nil {
@@ -126,79 +126,80 @@
 	}
 }
 
-// keepAcks keeps what deliveries brought, each in a transaction that deletes
-// the record and moves the shard's progress on.
-func (r *run) keepAcks(ctx context.Context, more ...ack) error {
-	pending := append(r.acks, more...)
-	r.acks = nil
+// recordResults records the results of deliveries, each in a transaction that deletes
+// the record of the delivery and updates the shard's progress.
+func (r *run) recordResults(ctx context.Context, more ...deliveryResult) error {
+	pending := append(r.unrecordedResults, more...)
+	r.unrecordedResults = nil
 	for i, a := range pending {
-		done, err := r.keepAck(ctx, a)
+		done, err := r.recordResult(ctx, a)
 		if err != nil {
 			return err
 		}
 		if !done {
-			r.acks = append(r.acks, pending[i:]...)
-			return nil // tried again at the next renewal
+			r.unrecordedResults = append(r.unrecordedResults, pending[i:]...)
+			return nil // the next renewal tries again
 		}
 	}
-	if r.uncounted {
+	if r.mayBeComplete {
 		return r.closeIfComplete(ctx)
 	}
 	return nil
 }
 
-// keepAck keeps one ack, or reports false if the platform did not answer. A
-// delivery that failed is left to resend.
-func (r *run) keepAck(ctx context.Context, a ack) (bool, error) {
+// recordResult records one result. It reports false if the platform did not answer. A
+// failed delivery is left to resend.
+func (r *run) recordResult(ctx context.Context, a deliveryResult) (bool, error) {
 	if a.failed {
 		delete(r.sending, a.group)
 		return true, nil
 	}
 	next := r.progress.Ack(a.group)
-	if !a.learned {
+	if !a.accepted {
 		next = r.progress.Refuse(a.group)
 	}
 	renewal, err := r.renewal(next)
 	if err != nil {
 		return false, err
 	}
-	rows, err := r.cfg.Platform.Commit(ctx, renewal, a.row)
+	rows, err := r.cfg.Platform.Commit(ctx, renewal, a.recordOp)
 	var ce *platform.ConflictError
-	if errors.As(err, &ce) && ce.Key == a.row.Key {
-		rows, err = r.cfg.Platform.Commit(ctx, renewal) // the sweeper deleted the record
+	if errors.As(err, &ce) && ce.Key == a.recordOp.Key {
+		rows, err = r.cfg.Platform.Commit(ctx, renewal) // the sweeper has deleted the record
 	}
 	switch {
 	case err == nil:
-		r.held.Fencing, r.progress = rows[0].Version, next
+		r.heldLease.Fencing, r.progress = rows[0].Version, next
 	case errors.As(err, &ce):
-		return false, errShardLost
+		return false, errLeaseLost
 	default:
 		if err := r.renew(ctx); errors.Is(err, lease.ErrHeld) {
-			return false, errShardLost
+			return false, errLeaseLost
 		}
 		if slices.Contains(r.progress.Recorded, a.group) {
 			return false, nil
 		}
 	}
 	delete(r.sending, a.group)
-	if a.learned {
+	if a.accepted {
 		r.step.Reduce(step.Acked{Group: a.group})
-		r.uncounted = true
+		r.mayBeComplete = true
 	} else {
 		r.step.Reduce(step.Refused{Group: a.group})
 	}
 	return true, nil
 }
 
-// closeIfComplete closes the step once the trainer holds the desired groups. If
-// the platform does not answer it is called again at the next renewal.
+// closeIfComplete closes the step if the trainer holds the desired number of groups,
+// and then returns errStepClosed. If the platform does not answer, it returns nil and
+// is called again at the next renewal.
 func (r *run) closeIfComplete(ctx context.Context) error {
 	n, err := step.CountDelivered(ctx, r.cfg.Platform, r.id.Step)
 	if err != nil {
 		return nil
 	}
 	if n < r.head.Desired {
-		r.uncounted = false
+		r.mayBeComplete = false
 		return nil
 	}
 	if err := r.close(ctx, step.Complete); err != nil {
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/maintain.go
@@ -11,11 +11,11 @@
 	"github.com/zinnialadder/zinnialadder/pkg/step"
 )
 
-// readHead reads the step's head again; it returns errStepClosed once the step has.
+// readHead reads the head of the step. It returns errStepClosed if the step is closed.
 func (r *run) readHead(ctx context.Context) error {
 	head, row, err := step.ReadHead(ctx, r.cfg.Platform, r.id.Step)
 	if err != nil {
-		return err // what was read before still stands
+		return err // the head read before remains in use
 	}
 	r.head, r.headRow = head, row
 	if r.head.Closed != "" {
@@ -24,26 +24,27 @@
 	return nil
 }
 
-// renew takes or renews the lease, and reads back the progress kept with it.
+// renew acquires or renews the lease and loads the progress stored in it.
 func (r *run) renew(ctx context.Context) error {
-	held, err := r.keeper.Acquire(ctx, nil)
+	heldLease, err := r.leaseManager.Acquire(ctx, nil)
 	if err != nil {
 		return err
 	}
-	r.held = held
-	r.nextRenew = r.cfg.Clock.Now().Add(r.keeper.TTL / control.RenewalsPerTTL)
+	r.heldLease = heldLease
+	r.nextRenew = r.cfg.Clock.Now().Add(r.leaseManager.TTL / control.RenewalsPerTTL)
 	if now := r.cfg.Clock.Now(); now.Before(r.head.Deadline) && r.head.Deadline.Before(r.nextRenew) {
-		r.nextRenew = r.head.Deadline // when upkeep closes the step
+		r.nextRenew = r.head.Deadline // maintain closes the step then
 	}
-	if len(held.Data) > 0 {
-		return json.Unmarshal(held.Data, &r.progress)
+	if len(heldLease.Data) > 0 {
+		return json.Unmarshal(heldLease.Data, &r.progress)
 	}
 	return nil
 }
 
-// upkeep renews the lease when due, sees whether the step has closed, and
-// raises the floor of versions that samples may have.
-func (r *run) upkeep(ctx context.Context) error {
+// maintain raises the oldest weight version that samples may have. When a renewal is
+// due, it closes the step if the deadline has passed, checks whether the step is
+// closed, renews the lease, and repeats deliveries and records that failed.
+func (r *run) maintain(ctx context.Context) error {
 	now := r.cfg.Clock.Now()
 	view := r.cfg.View()
 	if newest := view.NewestVersions[r.entry.Pool]; newest > r.entry.MaxVersionLag {
@@ -62,17 +63,17 @@
 	}
 	switch err := r.renew(ctx); {
 	case errors.Is(err, lease.ErrHeld):
-		return errShardLost
-	case err != nil && !now.Before(r.held.ValidUntil):
-		return errShardLost
+		return errLeaseLost
+	case err != nil && !now.Before(r.heldLease.ValidUntil):
+		return errLeaseLost
 	case err != nil:
-		r.nextRenew = now.Add(r.cfg.TickInterval) // the platform is away; the lease still holds
+		r.nextRenew = now.Add(r.cfg.TickInterval) // the platform is unavailable; the lease is still held
 	}
-	if err := r.keepAcks(ctx); err != nil {
+	if err := r.recordResults(ctx); err != nil {
 		return err
 	}
 	r.resend(ctx)
-	if r.uncounted {
+	if r.mayBeComplete {
 		return r.closeIfComplete(ctx)
 	}
 	return nil
--- a/pkg/shard/shard.go
+++ b/pkg/shard/shard.go
@@ -1,6 +1,6 @@
-// Package shard runs shards of training steps: under a shard's lease it has the
-// samples of its groups made, records complete groups together with its progress
-// and has them delivered, until the step closes.
+// Package shard runs shards of training steps. Under a shard's lease it generates the
+// samples of the shard's groups, records complete groups together with its progress and
+// delivers them, until the step closes.
 package shard
 
 import (
@@ -29,95 +29,96 @@
 	Platform     *platform.Client
 	Clock        clock.Clock
 	Logger       *log.Logger
-	Holder       string               // of the shards' leases: names this process
-	View         func() *control.View // the control state in force
+	Holder       string               // name of this process as lease holder
+	View         func() *control.View // returns the current control state
 	Samples      *delivery.Sender
 	Generate     func(context.Context, Attempt) (trainer.Sample, error)
-	Policy       step.Policy     // its MaxRunning is taken from the catalogue entry's limit
-	TickInterval time.Duration   // period of a shard's decisions
-	DrainTimeout time.Duration   // deliveries under way are waited for so long when the instance drains
-	Stale        metrics.Counter // samples too old to be delivered
+	Policy       step.Policy     // MaxRunning is replaced by the catalogue entry's limit
+	TickInterval time.Duration   // period of the shard's decisions
+	DrainTimeout time.Duration   // bounds the wait for deliveries in progress when the instance drains
+	Stale        metrics.Counter // counts samples too old to be delivered
 }
 
-// Attempt is one try to make one sample of a step.
+// Attempt is one attempt to generate one sample of a step.
 type Attempt struct {
 	step.Attempt
 	Entry       catalogue.Entry
 	Spec        step.Spec
-	UsedEngines []string          // engines that other attempts at the same item have used
-	OnEngine    func(addr string) // is told of each engine that this one uses
+	UsedEngines []string          // addresses of engines used by other attempts at the same item
+	OnEngine    func(addr string) // called with the address of each engine that this attempt uses
 }
 
-// run is one run of a shard under the shard's lease. Its loop owns
-// all of it; generations run on its group and report through ended.
+// run is one run of a shard under the shard's lease. Only its loop accesses its state;
+// generations run in goroutines of group and report through ended.
 type run struct {
 	cfg     Config
 	id      control.ShardID
 	head    step.Head
-	headRow uint64 // version of the head's row; it moves when the step closes
+	headRow uint64 // version of the head's row, which changes when the step closes
 	spec    step.Spec
 	entry   catalogue.Entry
 
-	keeper    *lease.Manager
-	held      lease.Held
-	progress  step.Progress
-	step      *step.Run
-	nextRenew time.Time
-	uncounted bool // the step may be complete, and has not been seen not to be
-
-	sending map[int]bool // groups whose delivery this run has under way
-	acks    []ack        // to be kept, after the platform did not answer
-
-	group   errgroup.Group
-	ended   chan step.AttemptEnded
-	acked   chan ack
-	over    chan struct{}              // closed when the loop is over
-	cancels map[int]context.CancelFunc // by attempt number
-	used    usedEngines
+	leaseManager  *lease.Manager
+	heldLease     lease.Held
+	progress      step.Progress
+	step          *step.Run
+	nextRenew     time.Time
+	mayBeComplete bool // whether a group was delivered since the delivered groups were last counted
+
+	sending           map[int]bool     // groups that this run is delivering
+	unrecordedResults []deliveryResult // results to record again, after the platform did not answer
+
+	group     errgroup.Group
+	ended     chan step.AttemptEnded
+	delivered chan deliveryResult
+	loopDone  chan struct{}              // closed when the loop has ended
+	cancels   map[int]context.CancelFunc // by attempt number
+	used      usedEngines
 }
 
-// Reasons a shard's run ends.
+// Errors that end a run.
 var (
 	errStepClosed = errors.New("step closed")
-	errShardLost  = errors.New("shard lease lost")
+	errLeaseLost  = errors.New("shard lease lost")
 )
 
-// Run runs a shard, whose lease lives for ttl, until the step closes, the lease
-// is lost or ctx ends; then it gives the lease up.
+// Run runs a shard under a lease with the given TTL until the step closes, the lease is
+// lost or ctx is done, and then releases the lease. It returns the reason, which is
+// never nil.
 func Run(ctx context.Context, cfg Config, id control.ShardID, ttl time.Duration) error {
-	r := &run{cfg: cfg, id: id, ended: make(chan step.AttemptEnded, 64), acked: make(chan ack),
-		over: make(chan struct{}), sending: map[int]bool{}, cancels: map[int]context.CancelFunc{},
-		keeper: &lease.Manager{Table: cfg.Platform, Clock: cfg.Clock, Name: step.ShardKey(id.Step, id.Shard), Holder: cfg.Holder, TTL: ttl}}
+	r := &run{cfg: cfg, id: id, ended: make(chan step.AttemptEnded, 64), delivered: make(chan deliveryResult),
+		loopDone: make(chan struct{}), sending: map[int]bool{}, cancels: map[int]context.CancelFunc{},
+		leaseManager: &lease.Manager{Table: cfg.Platform, Clock: cfg.Clock, Name: step.ShardKey(id.Step, id.Shard), Holder: cfg.Holder, TTL: ttl}}
 	if err := r.open(ctx); err != nil {
 		return err
 	}
 	err := r.loop(ctx)
 	if errors.Is(err, context.Canceled) {
-		r.settle(context.WithoutCancel(ctx))
+		r.finishDeliveries(context.WithoutCancel(ctx))
 	}
-	close(r.over)
+	close(r.loopDone)
 	for _, cancel := range r.cancels {
 		cancel()
 	}
 	_ = r.group.Wait()
-	_ = r.keeper.Release(context.WithoutCancel(ctx))
+	_ = r.leaseManager.Release(context.WithoutCancel(ctx))
 	return err
 }
 
-// settle waits a while for the deliveries under way and keeps what they bring,
-// so that a holder that leaves in good order has nothing sent again by the
-// next. After a kill the next holder can't tell, and sends again what is
-// recorded; the trainer knows it by its ID.
-func (r *run) settle(ctx context.Context) {
+// finishDeliveries waits for the deliveries in progress, for Config.DrainTimeout at
+// most, and records their results, so that the next lease holder need not send these
+// groups again. After a crash the next holder sends all recorded groups again, and the
+// trainer recognizes them by their IDs.
+func (r *run) finishDeliveries(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.DrainTimeout)
 	defer cancel()
 	for len(r.sending) > 0 {
 		var err error
 		select {
-		case a := <-r.acked:
-			err = r.keepAcks(ctx, a)
+		case a := <-r.delivered:
+			err = r.recordResults(ctx, a)
 		case <-time.After(r.cfg.TickInterval):
-			err = r.keepAcks(ctx) // those the platform did not answer for
+			err = r.recordResults(ctx) // results that the platform did not answer for
 		case <-ctx.Done():
 			err = ctx.Err()
 		}
@@ -127,8 +128,8 @@
 	}
 }
 
-// open reads the step, takes the shard's lease, waiting for another's to
-// lapse, and picks up its progress.
+// open reads the step, waits until the shard's lease can be acquired, and loads the
+// progress stored in it.
 func (r *run) open(ctx context.Context) error {
 	if err := r.readHead(ctx); err != nil {
 		return err
@@ -138,7 +139,7 @@
 		return err
 	}
 	if err := json.Unmarshal(b, &r.spec); err != nil {
-		return fmt.Errorf("step %s: %w", r.id.Step, err)
+		return fmt.Errorf("step %s: decode spec: %w", r.id.Step, err)
 	}
 	if r.entry, err = r.cfg.View().EntryFor(r.head.Customer, r.head.Entry); err != nil {
 		return err
@@ -151,7 +152,7 @@
 		case !errors.Is(err, lease.ErrHeld):
 			return err
 		}
-		if !clock.Sleep(ctx, r.keeper.TTL/control.RenewalsPerTTL) {
+		if !clock.Sleep(ctx, r.leaseManager.TTL/control.RenewalsPerTTL) {
 			return ctx.Err()
 		}
 		if err := r.readHead(ctx); err != nil {
@@ -160,45 +161,45 @@
 	}
 }
 
-// loop runs the shard until ctx ends or the run does. A call to the platform
-// that is under way when ctx ends is seen through, so that its outcome is
-// known to settle.
+// loop runs the shard until ctx is done or an error ends the run. A call to the
+// platform in progress when ctx is done is completed, so that finishDeliveries knows
+// its outcome.
 func (r *run) loop(ctx context.Context) error {
-	calls := context.WithoutCancel(ctx)
+	callCtx := context.WithoutCancel(ctx)
 	ticker := time.NewTicker(r.cfg.TickInterval)
 	defer ticker.Stop()
 	for {
-		var effs []step.Effect
+		var effects []step.Effect
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case ev := <-r.ended:
-			r.forget(ev.Attempt)
+			r.cancelAttempt(ev.Attempt)
 			r.step.Reduce(ev)
-			effs = r.step.Reduce(step.Tick{At: r.cfg.Clock.Now()})
-		case a := <-r.acked:
-			if err := r.keepAcks(calls, a); err != nil {
+			effects = r.step.Reduce(step.Tick{At: r.cfg.Clock.Now()})
+		case a := <-r.delivered:
+			if err := r.recordResults(callCtx, a); err != nil {
 				return err
 			}
 		case <-ticker.C:
-			if err := r.upkeep(calls); err != nil {
+			if err := r.maintain(callCtx); err != nil {
 				return err
 			}
-			effs = r.step.Reduce(step.Tick{At: r.cfg.Clock.Now()})
+			effects = r.step.Reduce(step.Tick{At: r.cfg.Clock.Now()})
 		}
-		if err := r.carryOut(ctx, effs); err != nil {
+		if err := r.runEffects(ctx, effects); err != nil {
 			return err
 		}
 	}
 }
 
-func (r *run) carryOut(ctx context.Context, effs []step.Effect) error {
-	for _, eff := range effs {
-		switch e := eff.(type) {
+func (r *run) runEffects(ctx context.Context, effects []step.Effect) error {
+	for _, effect := range effects {
+		switch e := effect.(type) {
 		case step.Start:
 			r.start(ctx, e.Attempt)
 		case step.Cancel:
-			r.forget(e.Attempt)
+			r.cancelAttempt(e.Attempt)
 		case step.Deliver:
 			if err := r.deliver(context.WithoutCancel(ctx), e); err != nil {
 				return err
@@ -208,18 +209,18 @@
 	return nil
 }
 
-// policy is the policy of the step: the instance's, with its entry's limit.
+// policy returns the instance's policy with the limit of the step's catalogue entry.
 func (r *run) policy() step.Policy {
 	p := r.cfg.Policy
 	p.MaxRunning = r.entry.Limits.MaxInFlight
 	return p
 }
 
-// close closes the step for the given reason, unless it is closed.
-func (r *run) close(ctx context.Context, why step.Reason) error {
-	closed, err := step.Close(ctx, r.cfg.Platform, r.id.Step, why, r.cfg.Clock.Now())
+// close closes the step for the given reason, unless it is closed already.
+func (r *run) close(ctx context.Context, reason step.Reason) error {
+	closed, err := step.Close(ctx, r.cfg.Platform, r.id.Step, reason, r.cfg.Clock.Now())
 	if closed {
-		r.cfg.Logger.Info("step closed", "step", r.id.Step, "reason", why)
+		r.cfg.Logger.Info("step closed", "step", r.id.Step, "reason", reason)
 	}
 	return err
 }
