--- a/pkg/step/head.go
+++ b/pkg/step/head.go
@@ -10,8 +10,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// ReadHead returns the head of the step key and the version of its row, or
-// platform.ErrNotFound.
+// ReadHead returns the head of the step with the given key, and the version of its row.
+// It returns platform.ErrNotFound if there is no such step.
 func ReadHead(ctx context.Context, c *platform.Client, key string) (Head, uint64, error) {
 	row, err := c.Get(ctx, HeadKey(key))
 	if err != nil {
@@ -21,13 +21,14 @@
 	return h, row.Version, err
 }
 
-// closeTries bounds Close under racing instances and lost replies.
-const closeTries = 5
+// maxCloseAttempts bounds the attempts of Close when other instances race with it or
+// replies are lost.
+const maxCloseAttempts = 5
 
-// Close closes the step key at now for the given reason, and reports whether it
-// did: false if it was closed before.
-func Close(ctx context.Context, c *platform.Client, key string, why Reason, now time.Time) (closed bool, err error) {
-	for range closeTries {
+// Close closes the step with the given key at now, for the given reason. It reports
+// whether this call closed it: false if it was closed before.
+func Close(ctx context.Context, c *platform.Client, key string, reason Reason, now time.Time) (closed bool, err error) {
+	for range maxCloseAttempts {
 		var h Head
 		var version uint64
 		if h, version, err = ReadHead(ctx, c, key); err != nil {
@@ -36,7 +37,7 @@
 		if h.Closed != "" {
 			return false, nil
 		}
-		h.Closed, h.ClosedAt = why, now
+		h.Closed, h.ClosedAt = reason, now
 		op, perr := platform.Put(HeadKey(key), version, h)
 		if perr != nil {
 			return false, perr
@@ -48,7 +49,8 @@
 	return false, err
 }
 
-// CountDelivered counts the groups of the step key that its trainer holds.
+// CountDelivered returns the number of groups of the step with the given key that its
+// trainer holds.
 func CountDelivered(ctx context.Context, c *platform.Client, key string) (int, error) {
 	rows, err := c.Scan(ctx, ShardsPrefix(key))
 	if err != nil {
@@ -65,7 +67,7 @@
 	return n, nil
 }
 
-// decodeProgress returns the progress that a shard's lease row holds.
+// decodeProgress decodes the progress stored in a shard's lease row.
 func decodeProgress(row platform.Row) (Progress, error) {
 	l, err := lease.Decode(row)
 	if err != nil || len(l.Data) == 0 {
@@ -73,7 +75,7 @@
 	}
 	var p Progress
 	if err := json.Unmarshal(l.Data, &p); err != nil {
-		return Progress{}, fmt.Errorf("step shard %s: %w", row.Key, err)
+		return Progress{}, fmt.Errorf("step: decode progress of shard %s: %w", row.Key, err)
 	}
 	return p, nil
 }
--- a/pkg/step/run.go
+++ b/pkg/step/run.go
@@ -7,60 +7,64 @@
 	"github.com/zinnialadder/zinnialadder/pkg/trainer"
 )
 
-// Policy says how a Run treats stragglers.
+// Policy configures how a Run schedules generations.
 type Policy struct {
-	// MaxRunning is how many generations run at once.
+	// MaxRunning is the largest number of generations running at once.
 	MaxRunning int
-	// HedgeFactor is how many times the median duration a generation may
-	// take before a second one of the same item is started; 0 for never.
+	// HedgeFactor is the multiple of the median duration after which a second attempt
+	// at the same item is started; 0 means never.
 	HedgeFactor float64
-	// HedgeAfter is how many generations must have ended before their
-	// median is trusted; a quarter of the shard is enough in any case.
+	// HedgeAfter is the number of generations that must have ended before hedging
+	// starts. A quarter of the shard's items is enough if that is fewer.
 	HedgeAfter int
-	// RetryDelay is the pause before a failed generation is started again.
+	// RetryDelay is the pause after a failed generation before the next attempt.
 	RetryDelay time.Duration
 }
 
-// Item names one generation of a step.
+// Item identifies one generation of a step.
 type Item struct {
 	Group int // index into Spec.Groups
-	Index int // 0 to the group's size
+	Index int // from 0 to the group's size, exclusive
 }
 
-// Attempt is one try at an Item.
+// Attempt is one attempt at an Item.
 type Attempt struct {
 	Item
 	Number int // unique within the Run
 }
 
-// Event is something a Run is told.
+// Event is an input of Run.Reduce.
 type Event interface{ isRunEvent() }
 
 type (
-	// Tick tells the time.
+	// Tick is sent periodically. The Run starts and hedges attempts and delivers
+	// complete groups.
 	Tick struct{ At time.Time }
-	// AttemptEnded tells how an attempt ended: with a sample if Err is nil.
+	// AttemptEnded is sent when an attempt has ended: with Sample if Err is nil. The
+	// Run keeps the first sample of an item and cancels its other attempt; it repeats a
+	// failed attempt.
 	AttemptEnded struct {
 		Attempt
 		Sample trainer.Sample
 		Err    error
 		At     time.Time
 	}
-	// Recorded tells that a group's delivery is recorded.
+	// Recorded is sent when a group's delivery has been recorded.
 	Recorded struct{ Group int }
-	// Acked tells that the trainer holds a recorded group.
+	// Acked is sent when the trainer has acknowledged a recorded group.
 	Acked struct{ Group int }
-	// Refused tells that the trainer turned a recorded group away as too
-	// old: it is generated again.
+	// Refused is sent when the trainer has refused a recorded group as too old. The Run
+	// generates it again.
 	Refused struct{ Group int }
-	// RecordFailed tells that recording a group's delivery failed, and that
-	// it should be tried again at RetryAt.
+	// RecordFailed is sent when recording a group's delivery has failed. The Run tries
+	// again at RetryAt.
 	RecordFailed struct {
 		Group   int
 		RetryAt time.Time
 	}
-	// MinVersionRaised tells the oldest weight version a sample may have now. Samples
-	// of older versions that are not yet delivered are generated again.
+	// MinVersionRaised is sent with the oldest weight version that a sample may have.
+	// The Run generates samples of older versions again unless their group is being
+	// recorded or delivered.
 	MinVersionRaised struct{ Version uint64 }
 )
 
@@ -72,15 +76,15 @@
 func (RecordFailed) isRunEvent()     {}
 func (MinVersionRaised) isRunEvent() {}
 
-// Effect is something a Run asks for.
+// Effect is an output of Run.Reduce.
 type Effect interface{ isRunEffect() }
 
 type (
-	// Start asks for an attempt to be started.
+	// Start asks the caller to start an attempt and to send AttemptEnded when it ends.
 	Start struct{ Attempt }
-	// Cancel asks for an attempt to be given up; it reports Ended no more.
+	// Cancel asks the caller to cancel an attempt. No AttemptEnded is expected for it.
 	Cancel struct{ Attempt }
-	// Deliver asks for a complete group to be recorded and delivered.
+	// Deliver asks the caller to record and deliver a complete group.
 	Deliver struct {
 		Group   int
 		Samples []trainer.Sample
@@ -91,58 +95,58 @@
 func (Cancel) isRunEffect()  {}
 func (Deliver) isRunEffect() {}
 
-// running is an attempt under way.
-type running struct {
+// runningAttempt is an attempt in progress.
+type runningAttempt struct {
 	Attempt
 	startedAt time.Time
 }
 
-// groupState is where a group stands.
+// groupState is the state of a group.
 type groupState int
 
 const (
 	generating groupState = iota
-	recording             // complete, its delivery being recorded
-	recorded              // its delivery under way
+	recording             // complete; its delivery is being recorded
+	recorded              // its delivery is in progress
 	acked                 // held by the trainer
 )
 
-// group is one group of a Run.
+// group is the state of one group of a Run.
 type group struct {
-	index   int
-	state   groupState
-	samples []*trainer.Sample // by item; nil until generated
-	retryAt []time.Time       // by item: not started before
-	record  time.Time         // not recorded before
+	index       int
+	state       groupState
+	samples     []*trainer.Sample // by item; nil until generated
+	retryAt     []time.Time       // by item: earliest time of the next attempt
+	recordAfter time.Time         // earliest time of the next record
 }
 
 func (g *group) complete() bool {
 	return !slices.Contains(g.samples, nil)
 }
 
-// dropOlder drops the samples that a version before floor produced, so that
-// they are generated again.
-func (g *group) dropOlder(floor uint64) {
+// dropOlder drops the samples generated by a version before minVersion, so that they
+// are generated again.
+func (g *group) dropOlder(minVersion uint64) {
 	for i, s := range g.samples {
-		if s != nil && tooOld(*s, floor) {
+		if s != nil && tooOld(*s, minVersion) {
 			g.samples[i] = nil
 		}
 	}
 }
 
-// Run is the progress of one shard of a step, owned by one goroutine.
+// Run is the state of one shard of a step. It is not safe for concurrent use.
 type Run struct {
-	policy    Policy
-	groups    []*group
-	running   []running
-	durations []time.Duration // of attempts that gave a sample, sorted
-	floor     uint64
-	attempts  int
-	items     int // of all groups
+	policy     Policy
+	groups     []*group
+	running    []runningAttempt
+	durations  []time.Duration // of successful attempts, sorted
+	minVersion uint64
+	attempts   int
+	items      int // in all groups
 }
 
-// NewRun returns the run of the groups with the given indexes of s, as far as
-// done says.
+// NewRun returns the Run of the groups of s with the given indexes, of which done tells
+// those that are recorded or acknowledged already.
 func NewRun(s Spec, indexes []int, done Progress, p Policy) *Run {
 	r := &Run{policy: p}
 	for _, i := range indexes {
@@ -164,13 +168,13 @@
 	return !slices.ContainsFunc(r.groups, func(g *group) bool { return g.state != acked })
 }
 
-// Reduce applies ev and returns what to do.
+// Reduce applies ev and returns what the caller must do.
 func (r *Run) Reduce(ev Event) []Effect {
 	switch e := ev.(type) {
 	case Tick:
 		return r.onTick(e.At)
 	case AttemptEnded:
-		return r.onEnded(e)
+		return r.onAttemptEnded(e)
 	case Recorded:
 		r.group(e.Group).state = recorded
 	case Acked:
@@ -181,10 +185,10 @@
 		clear(g.samples)
 	case RecordFailed:
 		g := r.group(e.Group)
-		g.state, g.record = generating, e.RetryAt
-		g.dropOlder(r.floor) // the floor may have risen meanwhile
+		g.state, g.recordAfter = generating, e.RetryAt
+		g.dropOlder(r.minVersion) // minVersion may have risen since the group was complete
 	case MinVersionRaised:
-		r.raiseFloor(e.Version)
+		r.raiseMinVersion(e.Version)
 	}
 	return nil
 }
@@ -194,16 +198,16 @@
 }
 
 func (r *Run) onTick(now time.Time) []Effect {
-	effs := r.deliverable(now)
-	effs = append(effs, r.startMissing(now)...)
-	return append(effs, r.hedge(now)...)
+	effects := r.deliverComplete(now)
+	effects = append(effects, r.startMissing(now)...)
+	return append(effects, r.hedge(now)...)
 }
 
-// deliverable asks for the delivery of complete groups.
-func (r *Run) deliverable(now time.Time) []Effect {
-	var effs []Effect
+// deliverComplete returns a Deliver effect for each group that has become complete.
+func (r *Run) deliverComplete(now time.Time) []Effect {
+	var effects []Effect
 	for _, g := range r.groups {
-		if g.state != generating || !g.complete() || now.Before(g.record) {
+		if g.state != generating || !g.complete() || now.Before(g.recordAfter) {
 			continue
 		}
 		g.state = recording
@@ -211,79 +215,79 @@
 		for _, s := range g.samples {
 			d.Samples = append(d.Samples, *s)
 		}
-		effs = append(effs, d)
+		effects = append(effects, d)
 	}
-	return effs
+	return effects
 }
 
-// startMissing starts items that have no sample and no attempt under way,
-// in the order of groups, so that early groups complete first.
+// startMissing starts an attempt at each item without a sample or a running attempt, in
+// the order of groups, so that early groups complete first.
 func (r *Run) startMissing(now time.Time) []Effect {
-	var effs []Effect
+	var effects []Effect
 	for _, g := range r.groups {
 		if g.state != generating {
 			continue
 		}
 		for i, s := range g.samples {
 			if len(r.running) >= r.policy.MaxRunning {
-				return effs
+				return effects
 			}
-			it := Item{Group: g.index, Index: i}
-			if s == nil && !now.Before(g.retryAt[i]) && r.tries(it) == 0 {
-				effs = append(effs, r.start(it, now))
+			item := Item{Group: g.index, Index: i}
+			if s == nil && !now.Before(g.retryAt[i]) && r.countRunning(item) == 0 {
+				effects = append(effects, r.start(item, now))
 			}
 		}
 	}
-	return effs
+	return effects
 }
 
-// hedge starts a second attempt of items that take far longer than most,
-// the longest first, while there is room.
+// hedge starts a second attempt at items whose attempt takes much longer than the
+// median, the longest first, up to MaxRunning.
 func (r *Run) hedge(now time.Time) []Effect {
 	if r.policy.HedgeFactor <= 0 || len(r.durations) < max(1, min(r.policy.HedgeAfter, r.items/4)) {
 		return nil
 	}
 	limit := time.Duration(r.policy.HedgeFactor * float64(r.durations[len(r.durations)/2]))
-	var effs []Effect
-	for _, a := range slices.Clone(r.running) { // in the order started
+	var effects []Effect
+	for _, a := range slices.Clone(r.running) { // in the order of their start
 		if len(r.running) >= r.policy.MaxRunning {
 			break
 		}
-		if now.Sub(a.startedAt) > limit && r.tries(a.Item) == 1 {
-			effs = append(effs, r.start(a.Item, now))
+		if now.Sub(a.startedAt) > limit && r.countRunning(a.Item) == 1 {
+			effects = append(effects, r.start(a.Item, now))
 		}
 	}
-	return effs
+	return effects
 }
 
-func (r *Run) start(it Item, now time.Time) Effect {
+func (r *Run) start(item Item, now time.Time) Effect {
 	r.attempts++
-	a := Attempt{Item: it, Number: r.attempts}
-	r.running = append(r.running, running{Attempt: a, startedAt: now})
+	a := Attempt{Item: item, Number: r.attempts}
+	r.running = append(r.running, runningAttempt{Attempt: a, startedAt: now})
 	return Start{Attempt: a}
 }
 
-// tries counts the attempts of it under way.
-func (r *Run) tries(it Item) int {
+// countRunning returns the number of running attempts at item.
+func (r *Run) countRunning(item Item) int {
 	n := 0
 	for _, a := range r.running {
-		if a.Item == it {
+		if a.Item == item {
 			n++
 		}
 	}
 	return n
 }
 
-// onEnded takes the first sample of an item, and cancels its other attempt.
-func (r *Run) onEnded(e AttemptEnded) []Effect {
-	i := slices.IndexFunc(r.running, func(a running) bool { return a.Attempt == e.Attempt })
+// onAttemptEnded keeps the first sample of an item and cancels its other attempt.
+func (r *Run) onAttemptEnded(e AttemptEnded) []Effect {
+	i := slices.IndexFunc(r.running, func(a runningAttempt) bool { return a.Attempt == e.Attempt })
 	if i < 0 {
-		return nil // cancelled before
+		return nil // cancelled before it ended
 	}
 	took := e.At.Sub(r.running[i].startedAt)
 	r.running = slices.Delete(r.running, i, i+1)
 	g := r.group(e.Group)
-	if e.Err != nil || tooOld(e.Sample, r.floor) {
+	if e.Err != nil || tooOld(e.Sample, r.minVersion) {
 		g.retryAt[e.Index] = e.At
 		if e.Err != nil {
 			g.retryAt[e.Index] = e.At.Add(r.policy.RetryDelay)
@@ -296,24 +300,25 @@
 	return r.cancelOthers(e.Item)
 }
 
-func (r *Run) cancelOthers(it Item) []Effect {
-	var effs []Effect
-	r.running = slices.DeleteFunc(r.running, func(a running) bool {
-		if a.Item != it {
+func (r *Run) cancelOthers(item Item) []Effect {
+	var effects []Effect
+	r.running = slices.DeleteFunc(r.running, func(a runningAttempt) bool {
+		if a.Item != item {
 			return false
 		}
-		effs = append(effs, Cancel{Attempt: a.Attempt})
+		effects = append(effects, Cancel{Attempt: a.Attempt})
 		return true
 	})
-	return effs
+	return effects
 }
 
-// raiseFloor drops samples of groups not being recorded that are now too old.
-func (r *Run) raiseFloor(version uint64) {
-	if version <= r.floor {
+// raiseMinVersion drops the samples that are now too old, except those of groups that
+// are being recorded or delivered.
+func (r *Run) raiseMinVersion(version uint64) {
+	if version <= r.minVersion {
 		return
 	}
-	r.floor = version
+	r.minVersion = version
 	for _, g := range r.groups {
 		if g.state == generating {
 			g.dropOlder(version)
@@ -321,8 +326,8 @@
 	}
 }
 
-func tooOld(s trainer.Sample, floor uint64) bool {
-	return s.OldestVersion() == 0 || s.OldestVersion() < floor
+func tooOld(s trainer.Sample, minVersion uint64) bool {
+	return s.OldestVersion() == 0 || s.OldestVersion() < minVersion
 }
 
 func sortedIndex(ds []time.Duration, d time.Duration) int {
--- a/pkg/step/step.go
+++ b/pkg/step/step.go
@@ -1,9 +1,9 @@
-// Package step runs training steps: a trainer submits groups of prompts and
-// says how many complete groups it waits for; the groups that complete
-// first are delivered, and stragglers do not hold the step up.
+// Package step runs training steps. A trainer submits groups of prompts and states how
+// many complete groups it waits for; the groups that complete first are delivered, so
+// that stragglers do not delay the step.
 //
-// The package holds the data of a step and the reducer that decides which
-// generation to start, repeat or give up; it does no I/O.
+// The package holds the data of a step, its storage, and the reducer that decides which
+// generation to start, repeat or cancel. The reducer does no I/O.
 package step
 
 import (
@@ -16,21 +16,22 @@
 	"time"
 )
 
-// Group is some generations from one prompt, learned from together.
+// Group is a set of generations from one prompt, which the trainer learns from
+// together.
 type Group struct {
 	ID        string `json:"id"`
 	Prompt    string `json:"prompt"`
 	Size      int    `json:"size"`       // generations in the group
-	MaxTokens int    `json:"max_tokens"` // per generation
+	MaxTokens int    `json:"max_tokens"` // limit of one generation
 }
 
-// Spec is a step as its trainer submits it.
+// Spec is a step as submitted by its trainer.
 type Spec struct {
 	Customer string    `json:"customer"`
-	Entry    string    `json:"entry"` // a training entry of the catalogue
+	Entry    string    `json:"entry"` // name of a training entry of the catalogue
 	ID       string    `json:"id"`
-	Desired  int       `json:"desired"` // complete groups the trainer waits for
-	Deadline time.Time `json:"due_at"`  // when the step ends whatever is complete
+	Desired  int       `json:"desired"` // complete groups that the trainer waits for
+	Deadline time.Time `json:"due_at"`  // when the step closes, complete or not
 	Groups   []Group   `json:"groups"`
 }
 
@@ -42,7 +43,7 @@
 
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9_-]{1,64}$`)
 
-// Check reports the first problem with s, naming the field.
+// Check returns an error for the first invalid field of s, naming it, or nil.
 func (s Spec) Check() error {
 	switch {
 	case s.Customer == "" || s.Entry == "":
@@ -73,35 +74,36 @@
 	return nil
 }
 
-// Key names the step among all steps.
+// Key returns the key of the step, unique among all steps.
 func (s Spec) Key() string { return Key(s.Customer, s.Entry, s.ID) }
 
-// Key names the step with the given ID of a customer's entry.
+// Key returns the key of the step with the given ID of a customer's entry.
 func Key(customer, entry, id string) string { return customer + "." + entry + "." + id }
 
-// Digest returns a hash of s, the same for the same step submitted again.
+// Digest returns a hexadecimal SHA-256 hash of s. It is the same if the same step is
+// submitted again.
 func (s Spec) Digest() string {
 	b, _ := json.Marshal(s) // a Spec always encodes
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:])
 }
 
-// Reason is why a step is closed.
+// Reason is the reason why a step closed.
 type Reason string
 
 // The reasons for closing a step.
 const (
-	Complete       Reason = "complete"  // the desired groups are delivered
-	DeadlinePassed Reason = "due"       // its time was up
-	Cancelled      Reason = "cancelled" // its trainer ended it
+	Complete       Reason = "complete"  // the desired number of groups is delivered
+	DeadlinePassed Reason = "due"       // the deadline has passed
+	Cancelled      Reason = "cancelled" // the trainer cancelled the step
 )
 
-// Head is the record of a step in the platform's table. It is written when
-// the step is accepted and once more when it closes.
+// Head is the row of a step in the platform's table. It is written when the step is
+// accepted and again when it closes.
 type Head struct {
 	Customer string    `json:"customer"`
 	Entry    string    `json:"entry"`
-	Digest   string    `json:"digest"` // names the stored Spec
+	Digest   string    `json:"digest"` // names the object that holds the Spec
 	Desired  int       `json:"desired"`
 	Groups   int       `json:"groups"`
 	Shards   int       `json:"shards"`
@@ -110,15 +112,14 @@
 	ClosedAt time.Time `json:"closed_at"`
 }
 
-// NewHead returns the record of s, split into shards of at most perShard
-// groups.
+// NewHead returns the head of s, with shards of at most perShard groups.
 func NewHead(s Spec, perShard int) Head {
 	return Head{Customer: s.Customer, Entry: s.Entry, Digest: s.Digest(), Desired: s.Desired,
 		Groups: len(s.Groups), Shards: (len(s.Groups) + perShard - 1) / perShard, Deadline: s.Deadline}
 }
 
-// ShardGroups returns the indexes of the groups in shard k: every
-// h.Shards'th, so that each shard has early and late groups.
+// ShardGroups returns the indexes of the groups in shard k: every h.Shards-th, so that
+// each shard has early and late groups.
 func (h Head) ShardGroups(k int) []int {
 	var out []int
 	for i := k; i < h.Groups; i += h.Shards {
@@ -127,7 +128,7 @@
 	return out
 }
 
-// Progress is how far a shard is, by indexes of groups.
+// Progress is the progress of a shard, by indexes of groups.
 type Progress struct {
 	Recorded []int `json:"recorded"` // recorded for delivery, not acknowledged yet
 	Acked    []int `json:"acked"`    // acknowledged by the trainer
@@ -143,8 +144,8 @@
 	return Progress{Recorded: without(p.Recorded, g), Acked: append(without(p.Acked, g), g)}
 }
 
-// Refuse returns p with group g, which its trainer turned away, neither
-// recorded nor acknowledged.
+// Refuse returns p with group g neither recorded nor acknowledged, as after the trainer
+// refused it.
 func (p Progress) Refuse(g int) Progress {
 	return Progress{Recorded: without(p.Recorded, g), Acked: p.Acked}
 }
