--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission bounds how many requests are in flight at once, under
-// several limits together.
+// Package admission limits how many requests are in flight at once, under several
+// limits together.
 package admission
 
 import (
@@ -8,21 +8,22 @@
 	"sync/atomic"
 )
 
-// InFlight counts requests in flight by key, such as an upstream's address or an
-// entry's name. Its zero value counts none; it is safe for concurrent use.
+// InFlight counts requests in flight by key, such as an upstream's address or the name
+// of a catalogue entry. Its zero value is ready to use; it is safe for concurrent use.
 type InFlight struct {
-	m sync.Map // key → *atomic.Int64
+	counters sync.Map // from string to *atomic.Int64
 }
 
 func (f *InFlight) counter(key string) *atomic.Int64 {
-	if c, ok := f.m.Load(key); ok {
+	if c, ok := f.counters.Load(key); ok {
 		return c.(*atomic.Int64)
 	}
-	c, _ := f.m.LoadOrStore(key, new(atomic.Int64))
+	c, _ := f.counters.LoadOrStore(key, new(atomic.Int64))
 	return c.(*atomic.Int64)
 }
 
-// Acquire adds one to key unless that would pass limit (0: no limit).
+// Acquire adds one to the count of key, unless that would exceed limit. A limit of 0
+// means no limit. It reports whether it added one.
 func (f *InFlight) Acquire(key string, limit int) bool {
 	c := f.counter(key)
 	if n := c.Add(1); limit > 0 && n > int64(limit) {
@@ -32,16 +33,17 @@
 	return true
 }
 
-// Release takes one from key, which Acquire has added.
+// Release subtracts one from the count of key. It must follow an Acquire that reported
+// true.
 func (f *InFlight) Release(key string) { f.counter(key).Add(-1) }
 
-// Get returns how many requests of key are in flight.
+// Get returns the number of requests in flight for key.
 func (f *InFlight) Get(key string) int64 { return f.counter(key).Load() }
 
-// Total returns how many requests of all keys with a prefix are in flight.
+// Total returns the number of requests in flight for all keys with the given prefix.
 func (f *InFlight) Total(prefix string) int64 {
 	var n int64
-	f.m.Range(func(k, v any) bool {
+	f.counters.Range(func(k, v any) bool {
 		if s, ok := k.(string); ok && strings.HasPrefix(s, prefix) {
 			n += v.(*atomic.Int64).Load()
 		}
@@ -50,28 +52,28 @@
 	return n
 }
 
-// KeyLimit is one of the limits that a request must keep within.
+// KeyLimit is a limit that a request must keep within.
 type KeyLimit struct {
 	Key   string
-	Limit int // 0: none
+	Limit int // 0 for none
 }
 
-// AcquireAll takes all places, or none and returns the index of the one that is
-// full; -1 if none is.
-func (f *InFlight) AcquireAll(places []KeyLimit) (full int) {
-	for i, p := range places {
-		if f.Acquire(p.Key, p.Limit) {
+// AcquireAll acquires all limits and returns -1, or acquires none and returns the index
+// of the first that is reached.
+func (f *InFlight) AcquireAll(limits []KeyLimit) (full int) {
+	for i, l := range limits {
+		if f.Acquire(l.Key, l.Limit) {
 			continue
 		}
-		f.ReleaseAll(places[:i])
+		f.ReleaseAll(limits[:i])
 		return i
 	}
 	return -1
 }
 
-// ReleaseAll gives places back that AcquireAll has taken.
-func (f *InFlight) ReleaseAll(places []KeyLimit) {
-	for _, p := range places {
-		f.Release(p.Key)
+// ReleaseAll releases limits acquired with AcquireAll.
+func (f *InFlight) ReleaseAll(limits []KeyLimit) {
+	for _, l := range limits {
+		f.Release(l.Key)
 	}
 }
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -14,18 +14,18 @@
 
 func ExampleInFlight() {
 	var f admission.InFlight
-	places := []admission.KeyLimit{{Key: "entry:drafts", Limit: 1}, {Key: "customer:minho", Limit: 2}}
-	fmt.Println(f.AcquireAll(places), f.AcquireAll(places))
-	f.ReleaseAll(places)
-	fmt.Println(f.AcquireAll(places), f.Total("entry:"))
+	limits := []admission.KeyLimit{{Key: "entry:drafts", Limit: 1}, {Key: "customer:minho", Limit: 2}}
+	fmt.Println(f.AcquireAll(limits), f.AcquireAll(limits))
+	f.ReleaseAll(limits)
+	fmt.Println(f.AcquireAll(limits), f.Total("entry:"))
 	// Output:
 	// -1 0
 	// -1 1
 }
 
-// Whatever is taken and given back, no limit is passed, and a request that is
-// turned away takes no place.
-func TestLimitsHold(t *testing.T) {
+// No limit is exceeded in any sequence of acquisitions and releases, and a request that
+// is refused holds no limit.
+func TestLimitsAreKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f admission.InFlight
 		limits := map[string]int{"a": 3, "b": 2, "c": 0}
@@ -55,7 +55,7 @@
 				}
 				for k, limit := range limits {
 					if n := f.Get(k); n != count[k] || limit > 0 && n > int64(limit) {
-						t.Fatalf("%s: %d in flight, %d held, limit %d", k, n, count[k], limit)
+						t.Fatalf("Get(%q): got %d, want %d and at most the limit of %d", k, n, count[k], limit)
 					}
 				}
 			},
