--- a/pkg/health/tracker.go
+++ b/pkg/health/tracker.go
@@ -1,6 +1,6 @@
-// Package health tracks which upstreams answer, from the outcome of the
-// requests sent to them, so that a crashed upstream, which is always the
-// least loaded, does not draw every request.
+// Package health tracks which upstreams answer, from the outcomes of the requests sent
+// to them. A crashed upstream always has the lowest load, and would otherwise attract
+// all requests.
 package health
 
 import (
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// Config says when an upstream is ejected and for how long.
+// Config configures when an upstream is ejected and for how long.
 type Config struct {
-	// FailureThreshold in a row that eject an upstream; default 2.
+	// FailureThreshold is the number of consecutive failures that eject an upstream.
+	// The default is 2.
 	FailureThreshold int
-	// EjectionTime is how long the first ejection lasts; each failure after it
-	// doubles the time, up to MaxEjectFor. Defaults 500ms and 10s.
-	EjectionTime    time.Duration
+	// EjectionTime is the duration of the first ejection; the default is 500 ms. Each
+	// further failure doubles it, up to MaxEjectionTime.
+	EjectionTime time.Duration
+	// MaxEjectionTime bounds the duration of an ejection. The default is 10 s.
 	MaxEjectionTime time.Duration
 }
 
-// Tracker keeps the health of upstreams by address. It is safe for
-// concurrent use.
+// Tracker tracks the health of upstreams by address. It is safe for concurrent use.
 type Tracker struct {
 	cfg Config
 
 	mu        sync.Mutex
-	upstreams map[string]*upstream // those that have failed since they last answered
+	upstreams map[string]*upstream // those that have failed since their last answer
 }
 
 type upstream struct {
-	failures  int
-	ejectedTo time.Time // when it may be tried again; zero if not ejected
+	failures     int
+	ejectedUntil time.Time // when it may be probed; zero if it was not ejected
 }
 
-// NewTracker returns a Tracker to which every upstream is healthy.
+// NewTracker returns a Tracker in which every upstream is healthy.
 func NewTracker(cfg Config) *Tracker {
 	if cfg.FailureThreshold == 0 {
 		cfg.FailureThreshold = 2
@@ -46,16 +47,16 @@
 	return &Tracker{cfg: cfg, upstreams: map[string]*upstream{}}
 }
 
-// RecordSuccess tells that the upstream at addr answered.
+// RecordSuccess records that the upstream at addr answered, which readmits it.
 func (t *Tracker) RecordSuccess(addr string) {
 	t.mu.Lock()
 	delete(t.upstreams, addr)
 	t.mu.Unlock()
 }
 
-// RecordFailure tells that a request to the upstream at addr got no answer at now.
-// Fatal means that it took no connection at all, which ejects it at once.
-// It reports whether the upstream is now ejected and was not before.
+// RecordFailure records that a request to the upstream at addr got no answer at now.
+// fatal means that the upstream accepted no connection, which ejects it at once. It
+// reports whether the upstream is ejected for the first time since it last answered.
 func (t *Tracker) RecordFailure(addr string, now time.Time, fatal bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,15 +69,17 @@
 	if fatal {
 		u.failures = max(u.failures, t.cfg.FailureThreshold)
 	}
-	if u.failures < t.cfg.FailureThreshold || now.Before(u.ejectedTo) {
+	if u.failures < t.cfg.FailureThreshold || now.Before(u.ejectedUntil) {
 		return false
 	}
-	fresh := u.ejectedTo.IsZero()
-	u.ejectedTo = now.Add(t.ejection(u.failures))
-	return fresh
+	first := u.ejectedUntil.IsZero()
+	u.ejectedUntil = now.Add(t.ejectionTime(u.failures))
+	return first
 }
 
-func (t *Tracker) ejection(failures int) time.Duration {
+// ejectionTime returns the duration of the ejection after the given number of
+// consecutive failures.
+func (t *Tracker) ejectionTime(failures int) time.Duration {
 	d := t.cfg.EjectionTime
 	for i := t.cfg.FailureThreshold; i < failures && d < t.cfg.MaxEjectionTime; i++ {
 		d *= 2
@@ -84,21 +87,21 @@
 	return min(d, t.cfg.MaxEjectionTime)
 }
 
-// Usable reports whether the upstream at addr may be sent a request at now.
+// Usable reports whether a request may be sent to the upstream at addr at now.
 func (t *Tracker) Usable(addr string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.upstreams[addr]
-	return u == nil || !now.Before(u.ejectedTo)
+	return u == nil || !now.Before(u.ejectedUntil)
 }
 
-// RecordAttempt tells that a request is about to be sent to the upstream at addr.
-// After an ejection that request tries the upstream, and others keep away
-// until it succeeds or another EjectFor has passed.
+// RecordAttempt records that a request is about to be sent to the upstream at addr. If
+// its ejection has passed, the request is a probe: other requests avoid the upstream
+// until the probe succeeds or another EjectionTime has passed.
 func (t *Tracker) RecordAttempt(addr string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if u := t.upstreams[addr]; u != nil && !u.ejectedTo.IsZero() && !now.Before(u.ejectedTo) {
-		u.ejectedTo = now.Add(t.cfg.EjectionTime)
+	if u := t.upstreams[addr]; u != nil && !u.ejectedUntil.IsZero() && !now.Before(u.ejectedUntil) {
+		u.ejectedUntil = now.Add(t.cfg.EjectionTime)
 	}
 }
