--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -1,38 +1,38 @@
-// Package retry bounds how many requests are sent again, so that retries do
-// not multiply the load on upstreams that are failing under it.
+// Package retry limits how many requests are retried, so that retries do not multiply
+// the load on upstreams that fail because of it.
 package retry
 
 import "sync"
 
-// Budget allows retries in proportion to requests: each request earns Ratio
-// of a retry, and up to Burst retries can be saved up. It starts full and is
-// safe for concurrent use.
+// Budget is a token bucket that allows retries in proportion to requests: each request
+// adds ratio tokens, up to burst, and each retry takes one. It is safe for concurrent
+// use. Use NewBudget to create one.
 type Budget struct {
 	ratio, burst float64
 
-	mu    sync.Mutex
-	saved float64
+	mu     sync.Mutex
+	tokens float64
 }
 
 // NewBudget returns a full Budget.
 func NewBudget(ratio, burst float64) *Budget {
-	return &Budget{ratio: ratio, burst: burst, saved: burst}
+	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// Earn counts one request.
+// Earn adds the tokens of one request.
 func (b *Budget) Earn() {
 	b.mu.Lock()
-	b.saved = min(b.burst, b.saved+b.ratio)
+	b.tokens = min(b.burst, b.tokens+b.ratio)
 	b.mu.Unlock()
 }
 
-// Spend takes one retry, or reports false if none is left.
+// Spend takes the token of one retry. It reports false if there is none.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
