--- a/pkg/route/example_test.go
+++ b/pkg/route/example_test.go
@@ -6,8 +6,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/route"
 )
 
-// Requests with the same prefix go to the same engine while it is about as
-// loaded as the least, and to the next in rank when it is not.
+// Requests with the same prefix go to the same engine while its load is within Slack of
+// the lowest, and otherwise to the next in rank.
 func ExamplePolicy() {
 	policy := route.Policy{Slack: 3}
 	engines := []route.Candidate{{Key: "10.0.1.1:7101"}, {Key: "10.0.1.2:7101"}, {Key: "10.0.1.3:7101"}}
--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -1,6 +1,6 @@
-// Package route chooses an upstream for a request: among those about as
-// loaded as the least, the one that the request's prefix ranks first, so that
-// requests sharing a prompt prefix meet the same few prefix caches.
+// Package route chooses an upstream for a request: of the upstreams whose load is close
+// to the lowest, the one that ranks first for the request's prefix. Requests with a
+// common prompt prefix thus use the same few prefix caches.
 package route
 
 import (
@@ -10,31 +10,30 @@
 	"slices"
 )
 
-// Candidate is an upstream that may take a request, with its load: the
-// number of requests it is believed to hold, active and queued.
+// Candidate is an upstream that may get a request.
 type Candidate struct {
-	Key  string // the upstream's address
-	Load float64
+	Key  string  // address of the upstream
+	Load float64 // requests at the upstream as far as known, active and queued
 }
 
-// Policy chooses among candidates. Its zero value chooses the least loaded.
+// Policy chooses among candidates. Its zero value chooses one with the lowest load.
 type Policy struct {
-	// Slack is how much more loaded than the least loaded candidate one may
-	// be and still be chosen for its rank.
+	// Slack is how much the load of a candidate may exceed the lowest load for the
+	// candidate to be chosen by its rank.
 	Slack float64
 }
 
-// Pick returns the index of the chosen candidate for a request whose
-// affinity key is affinity (empty for none), or -1 if cands is empty. When
-// the candidate that the key ranks first is busy, the next in rank is chosen,
-// so that a key asked for often overflows to the same candidates each time.
-func (p Policy) Pick(cands []Candidate, affinity string) int {
-	if len(cands) == 0 {
+// Pick returns the index of the candidate for a request with the given affinity key, or
+// -1 if candidates is empty. It chooses the candidate that ranks first for the key
+// among those within Slack of the lowest load, so that a frequent key overflows to the
+// same candidates each time. An empty key chooses the least loaded candidate.
+func (p Policy) Pick(candidates []Candidate, affinity string) int {
+	if len(candidates) == 0 {
 		return -1
 	}
 	least := 0
-	for i, c := range cands {
-		if c.Load < cands[least].Load {
+	for i, c := range candidates {
+		if c.Load < candidates[least].Load {
 			least = i
 		}
 	}
@@ -42,20 +41,20 @@
 		return least
 	}
 	best, bestScore := least, uint64(0)
-	for i, c := range cands {
-		if c.Load > cands[least].Load+p.Slack {
+	for i, c := range candidates {
+		if c.Load > candidates[least].Load+p.Slack {
 			continue
 		}
-		if sc := score(c.Key, affinity); sc > bestScore {
-			best, bestScore = i, sc
+		if s := score(c.Key, affinity); s > bestScore {
+			best, bestScore = i, s
 		}
 	}
 	return best
 }
 
-// Rendezvous returns the index of the item that key hashes highest with
-// (highest random weight hashing), or -1 if items is empty. When an item
-// leaves, only the keys that chose it move.
+// Rendezvous returns the index of the item that ranks first for key (rendezvous
+// hashing, also known as highest random weight hashing), or -1 if items is empty. When
+// an item is removed, only the keys that chose it change.
 func Rendezvous[T any](items []T, name func(T) string, key string) int {
 	best, bestScore := -1, uint64(0)
 	for i, it := range items {
@@ -67,35 +66,36 @@
 	return best
 }
 
-// RankWeighted returns items in the order that key ranks them by, as Rank does,
-// but so that an item comes first for a share of the keys proportional to its
-// weight (weighted rendezvous hashing).
+// RankWeighted returns items by their rank for key, as Rank does, but each item ranks
+// first for a share of the keys that is proportional to its weight (weighted rendezvous
+// hashing).
 func RankWeighted[T any](items []T, name func(T) string, weight func(T) float64, key string) []T {
-	return sortedBy(items, func(it T) float64 { return weightedPlace(name(it), weight(it), key) })
+	return sortedBy(items, func(it T) float64 { return weightedScore(name(it), weight(it), key) })
 }
 
-// weightedPlace is lower for items that key ranks first.
-func weightedPlace(name string, weight float64, key string) float64 {
-	const top = 1 << 53 // scores are taken as numbers in (0, 1)
+// weightedScore returns the score of an item for key. Items with a lower score rank
+// first.
+func weightedScore(name string, weight float64, key string) float64 {
+	const top = 1 << 53 // maps hashes to numbers in (0, 1)
 	u := (float64(score(name, key)>>11) + 0.5) / top
 	return -math.Log(u) / max(weight, minWeight)
 }
 
-// WeightedRankOf returns how many of items come before one as RankWeighted ranks them,
-// without ranking all of them.
-func WeightedRankOf[T any](items []T, name func(T) string, weight func(T) float64, key string, one T) int {
-	at := weightedPlace(name(one), weight(one), key)
-	return before(items, func(it T) bool { return weightedPlace(name(it), weight(it), key) < at })
+// WeightedRankOf returns how many of items rank before item for key, as RankWeighted
+// ranks them, without sorting.
+func WeightedRankOf[T any](items []T, name func(T) string, weight func(T) float64, key string, item T) int {
+	own := weightedScore(name(item), weight(item), key)
+	return countBefore(items, func(it T) bool { return weightedScore(name(it), weight(it), key) < own })
 }
 
-// RankOf returns how many of items come before one as Rank ranks them, without ranking
-// all of them.
-func RankOf[T any](items []T, name func(T) string, key string, one T) int {
-	at := score(name(one), key)
-	return before(items, func(it T) bool { return score(name(it), key) > at })
+// RankOf returns how many of items rank before item for key, as Rank ranks them,
+// without sorting.
+func RankOf[T any](items []T, name func(T) string, key string, item T) int {
+	own := score(name(item), key)
+	return countBefore(items, func(it T) bool { return score(name(it), key) > own })
 }
 
-func before[T any](items []T, precedes func(T) bool) int {
+func countBefore[T any](items []T, precedes func(T) bool) int {
 	n := 0
 	for _, it := range items {
 		if precedes(it) {
@@ -105,17 +105,18 @@
 	return n
 }
 
-// sortedBy returns items in ascending order of at, which is asked once for each.
-func sortedBy[T any, K cmp.Ordered](items []T, at func(T) K) []T {
-	type placed struct {
-		index int32 // of the item, which may be large
-		at    K
+// sortedBy returns items in ascending order of their keys. It calls key once for each
+// item.
+func sortedBy[T any, K cmp.Ordered](items []T, key func(T) K) []T {
+	type keyed struct {
+		index int32 // of the item, to sort without copying large items
+		key   K
 	}
-	all := make([]placed, len(items))
+	all := make([]keyed, len(items))
 	for i, it := range items {
-		all[i] = placed{int32(i), at(it)}
+		all[i] = keyed{int32(i), key(it)}
 	}
-	slices.SortStableFunc(all, func(a, b placed) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(all, func(a, b keyed) int { return cmp.Compare(a.key, b.key) })
 	out := make([]T, len(all))
 	for i, p := range all {
 		out[i] = items[p.index]
@@ -123,11 +124,11 @@
 	return out
 }
 
-// minWeight stands for weights that are not positive.
+// minWeight replaces smaller weights, which include those that are not positive.
 const minWeight = 1e-3
 
-// Rank returns items in the order that key ranks them by, best first: the
-// first is the one Rendezvous chooses.
+// Rank returns items by their rank for key, best first. The first is the one that
+// Rendezvous chooses.
 func Rank[T any](items []T, name func(T) string, key string) []T {
 	return sortedBy(items, func(it T) uint64 { return math.MaxUint64 - score(name(it), key) })
 }
@@ -140,8 +141,8 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads the bits of x (a finaliser of the splitmix64 generator), so
-// that nearby hashes give unrelated scores.
+// mix is the finalizer of the splitmix64 generator. It gives similar hashes unrelated
+// scores.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -14,44 +14,44 @@
 
 func key(c route.Candidate) string { return c.Key }
 
-// TestPickIsFirstInRankWithinSlack checks Pick against the ranking: the first
-// candidate in rank that is within the slack of the least loaded is chosen.
-func TestPickIsFirstInRankWithinSlack(t *testing.T) {
+// Pick chooses the first candidate of the ranking whose load is within Slack of the
+// lowest load, and without an affinity key one with the lowest load.
+func TestPickFirstWithinSlack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		loads := rapid.SliceOfN(rapid.IntRange(0, 12), 1, 12).Draw(t, "loads")
 		policy := route.Policy{Slack: float64(rapid.IntRange(0, 6).Draw(t, "slack"))}
 		affinity := rapid.StringN(1, 8, -1).Draw(t, "affinity")
-		var cands []route.Candidate
+		var candidates []route.Candidate
 		least := float64(loads[0])
 		for i, l := range loads {
-			cands = append(cands, route.Candidate{Key: fmt.Sprintf("10.0.0.%d:7101", i), Load: float64(l)})
+			candidates = append(candidates, route.Candidate{Key: fmt.Sprintf("10.0.0.%d:7101", i), Load: float64(l)})
 			least = min(least, float64(l))
 		}
 		var want route.Candidate
-		for _, c := range route.Rank(cands, key, affinity) {
+		for _, c := range route.Rank(candidates, key, affinity) {
 			if c.Load <= least+policy.Slack {
 				want = c
 				break
 			}
 		}
-		if got := cands[policy.Pick(cands, affinity)]; got != want {
-			t.Fatalf("picked %+v, want %+v of %+v", got, want, cands)
+		if got := candidates[policy.Pick(candidates, affinity)]; got != want {
+			t.Fatalf("Pick(%+v): got %+v, want %+v", candidates, got, want)
 		}
-		if got := cands[policy.Pick(cands, "")]; got.Load != least {
-			t.Fatalf("picked %+v without affinity, want a load of %v", got, least)
+		if got := candidates[policy.Pick(candidates, "")]; got.Load != least {
+			t.Fatalf("Pick without affinity: got %+v, want a load of %v", got, least)
 		}
 	})
 }
 
-// TestPickOfNone checks that there is nothing to pick from nothing.
-func TestPickOfNone(t *testing.T) {
+// Pick returns -1 if there are no candidates.
+func TestPickEmpty(t *testing.T) {
 	if i := (route.Policy{}).Pick(nil, "prefix"); i != -1 {
-		t.Fatalf("picked %d of no candidates", i)
+		t.Fatalf("Pick of no candidates: got %d, want -1", i)
 	}
 }
 
-// Items come first for a share of the keys proportional to their weights, and a
-// weight that changes moves only the keys of its own item.
+// Items rank first for a share of the keys proportional to their weights, and a change
+// of one item's weight moves only keys to or from that item.
 func TestRankWeighted(t *testing.T) {
 	weights := map[string]float64{"small": 1, "large": 4, "other": 4}
 	items := []string{"small", "large", "other"}
@@ -65,7 +65,7 @@
 		count[before[key]]++
 	}
 	if count["small"] < 800 || count["small"] > 1200 || count["large"] < 3700 || count["other"] < 3700 {
-		t.Fatal(count)
+		t.Fatalf("keys by first item of 9000: got %v, want about 1000 for small and 4000 for the others", count)
 	}
 	weights["small"] = 0.0001
 	for key, was := range before {
@@ -75,8 +75,8 @@
 	}
 }
 
-// What comes before an item is what its rank tells.
-func TestBeforeIsTheRank(t *testing.T) {
+// RankOf and WeightedRankOf agree with the order of Rank and RankWeighted.
+func TestRankOf(t *testing.T) {
 	name := func(s string) string { return s }
 	weight := func(s string) float64 { return float64(len(s)) }
 	rapid.Check(t, func(t *rapid.T) {
@@ -84,12 +84,12 @@
 		key := rapid.StringMatching("[a-z]{0,4}").Draw(t, "key")
 		for i, it := range route.Rank(items, name, key) {
 			if got := route.RankOf(items, name, key, it); got != i {
-				t.Fatalf("%d before %q, which is at %d", got, it, i)
+				t.Fatalf("RankOf(%q): got %d, want %d", it, got, i)
 			}
 		}
 		for i, it := range route.RankWeighted(items, name, weight, key) {
 			if got := route.WeightedRankOf(items, name, weight, key, it); got != i {
-				t.Fatalf("%d before %q by weight, which is at %d", got, it, i)
+				t.Fatalf("WeightedRankOf(%q): got %d, want %d", it, got, i)
 			}
 		}
 	})
