--- a/pkg/lease/example_test.go
+++ b/pkg/lease/example_test.go
@@ -13,16 +13,16 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform/platformtest"
 )
 
-// A lease passes to another holder once it has stood unchanged for its time,
-// with a higher fencing number.
+// A lease passes to another holder once its row has been unchanged for its TTL, and
+// gets a higher fencing token.
 func ExampleManager() {
 	hs := httptest.NewServer(platformtest.New().Handler())
 	defer hs.Close()
 	ctx, fake := context.Background(), clock.NewFake(time.Unix(1_800_000_000, 0))
-	keeper := func(holder string) *lease.Manager {
+	newManager := func(holder string) *lease.Manager {
 		return &lease.Manager{Table: platform.NewClient(hs.URL, nil), Clock: fake, Name: "rollout/assistant-pool", Holder: holder, TTL: 3 * time.Second}
 	}
-	a, b := keeper("entry-1"), keeper("entry-2")
+	a, b := newManager("entry-1"), newManager("entry-2")
 	first, _ := a.Acquire(ctx, nil)
 	_, err := b.Acquire(ctx, nil)
 	fmt.Println("held by another:", errors.Is(err, lease.ErrHeld))
--- a/pkg/lease/keeper_test.go
+++ b/pkg/lease/manager_test.go
@@ -19,24 +19,23 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m, 300) }
 
-// keeper is one process: its Keeper, its clock, which runs at the true rate
-// from a start of its own, and what it believes.
-type keeper struct {
+// process is a Manager with a clock of its own, which runs at the correct rate from an
+// arbitrary start, and the lease that it holds by that clock.
+type process struct {
 	lease.Manager
 	clock *clock.Fake
 	held  lease.Held
 }
 
-func (k *keeper) believes() bool {
-	return k.held.Fencing != 0 && k.clock.Now().Before(k.held.ValidUntil)
+func (p *process) holds() bool {
+	return p.held.Fencing != 0 && p.clock.Now().Before(p.held.ValidUntil)
 }
 
-// Three processes with clocks hours apart and times to live of their own, as
-// while a setting changes, paused for any time, and a platform that loses
-// replies and goes down: at no moment do two of them
-// hold a lease that is valid by their own clocks, and the fencing numbers
-// of successive holders grow.
-func TestOneHolderWhateverTheClocks(t *testing.T) {
+// Three processes have clocks hours apart and different TTLs, as while a setting
+// changes. They may pause for any time, and the platform loses replies and goes down.
+// At no moment do two of them hold a lease that is valid by their own clocks, and the
+// fencing tokens of successive holders increase.
+func TestOneHolderWithUnsynchronizedClocks(t *testing.T) {
 	srv := platformtest.New()
 	hs := httptest.NewServer(srv.Handler())
 	defer hs.Close()
@@ -46,60 +45,60 @@
 		round++
 		srv.SetFaults(platformtest.Faults{})
 		name := "lease/test/" + string(rune('a'+round%26)) + time.Duration(round).String()
-		ks := make([]*keeper, 3)
-		for i := range ks {
+		processes := make([]*process, 3)
+		for i := range processes {
 			c := clock.NewFake(time.Unix(1_800_000_000, 0).Add(time.Duration(rapid.IntRange(-7200, 7200).Draw(t, "skew_s")) * time.Second))
 			ttl := time.Duration(rapid.IntRange(1, 6).Draw(t, "ttl_s")) * time.Second
-			ks[i] = &keeper{clock: c, Manager: lease.Manager{Table: table, Clock: c, Name: name, Holder: string(rune('A' + i)), TTL: ttl}}
+			processes[i] = &process{clock: c, Manager: lease.Manager{Table: table, Clock: c, Name: name, Holder: string(rune('A' + i)), TTL: ttl}}
 		}
 		var highest uint64
 		t.Repeat(map[string]func(*rapid.T){
 			"advance": func(t *rapid.T) {
 				d := time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond
-				for _, k := range ks {
-					k.clock.Advance(d)
+				for _, p := range processes {
+					p.clock.Advance(d)
 				}
 			},
 			"take": func(t *rapid.T) {
-				k := rapid.SampledFrom(ks).Draw(t, "keeper")
-				held, err := k.Acquire(context.Background(), nil)
+				p := rapid.SampledFrom(processes).Draw(t, "keeper")
+				held, err := p.Acquire(context.Background(), nil)
 				if errors.Is(err, lease.ErrHeld) {
-					k.held = lease.Held{}
+					p.held = lease.Held{}
 				}
 				if err != nil {
 					return
 				}
 				if held.Fencing <= highest {
-					t.Fatalf("fencing %d after %d", held.Fencing, highest)
+					t.Fatalf("fencing token: got %d, want more than %d", held.Fencing, highest)
 				}
-				k.held, highest = held, held.Fencing
+				p.held, highest = held, held.Fencing
 			},
 			"release": func(t *rapid.T) {
-				k := rapid.SampledFrom(ks).Draw(t, "keeper")
-				k.held = lease.Held{}
-				_ = k.Release(context.Background())
+				p := rapid.SampledFrom(processes).Draw(t, "keeper")
+				p.held = lease.Held{}
+				_ = p.Release(context.Background())
 			},
 			"fault": func(t *rapid.T) {
 				srv.SetFaults(rapid.SampledFrom([]platformtest.Faults{{}, {Down: true}, {LoseReplies: 1}, {LoseNextReads: 1}}).Draw(t, "fault"))
 			},
 			"": func(t *rapid.T) {
-				believers := 0
-				for _, k := range ks {
-					if k.believes() {
-						believers++
+				holders := 0
+				for _, p := range processes {
+					if p.holds() {
+						holders++
 					}
 				}
-				if believers > 1 {
-					t.Fatalf("%d processes hold the lease", believers)
+				if holders > 1 {
+					t.Fatalf("processes that hold the lease: got %d, want at most 1", holders)
 				}
 			},
 		})
 	})
 }
 
-// A holder that was away does not renew a lease that another has held and given up
-// meanwhile: what that one left with it would be lost.
-func TestRenewAfterAnother(t *testing.T) {
+// A holder does not renew a lease that another one has acquired and released in the
+// meantime, since that would overwrite the other one's data.
+func TestRenewAfterAnotherHolder(t *testing.T) {
 	srv := platformtest.New()
 	hs := httptest.NewServer(srv.Handler())
 	defer hs.Close()
@@ -116,7 +115,7 @@
 	_, err := second.Acquire(ctx, nil)
 	now.Advance(2 * time.Second)
 	if err == nil {
-		t.Fatal("two hold the lease")
+		t.Fatal("second holder acquired the lease before it expired")
 	}
 	if _, err := second.Acquire(ctx, json.RawMessage(`"of b"`)); err != nil {
 		t.Fatal(err)
@@ -125,10 +124,10 @@
 		t.Fatal(err)
 	}
 	if _, err := first.Renew(ctx, json.RawMessage(`"of a"`)); !errors.Is(err, lease.ErrHeld) {
-		t.Fatalf("renewed after another has held it: %v", err)
+		t.Fatalf("Renew after another holder: got %v, want ErrHeld", err)
 	}
 	held, err := first.Acquire(ctx, nil)
 	if err != nil || string(held.Data) != `"of b"` {
-		t.Fatalf("taken again with %s, %v; want what b left", held.Data, err)
+		t.Fatalf("Acquire after another holder: got data %s, %v, want that of b", held.Data, err)
 	}
 }
