--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -1,6 +1,6 @@
-// Package claim keeps a record of each non-idempotent call in the platform's
-// table, so that a call with one key is sent at most once by all instances
-// together, and its answer is given again to those who repeat it.
+// Package claim keeps a record of each non-idempotent call in the platform's table. All
+// instances together send a call with one idempotency key at most once, and its
+// recorded answer is returned to callers who repeat it.
 package claim
 
 import (
@@ -18,95 +18,98 @@
 
 const prefix = "claim/"
 
-// State is where a non-idempotent call stands.
+// State is the state of a claim.
 type State string
 
-// The states of a claim. A call is sent only by the attempt that moved its
-// claim from claimed to sending by compare-and-set on the version it wrote
-// itself; so a claim still claimed was never sent, and any attempt may take
-// it over, which fences out the attempt that wrote it.
+// The states of a claim. A call is sent only by the attempt that changed its claim from
+// Claimed to Sending, by compare-and-set on the version that this attempt wrote. So the
+// call of a claim that is still Claimed was never sent, and another attempt may take
+// the claim over, which fences out the attempt that wrote it.
 const (
 	Claimed State = "claimed"
 	Sending State = "sending"
 	Done    State = "done"
 )
 
-// Record is the record of a non-idempotent call in the platform's table.
+// Record is the value of a claim's row in the platform's table.
 type Record struct {
-	Attempt string          `json:"attempt"` // the entry instance and request that hold it
+	Attempt string          `json:"attempt"` // unique ID of the attempt that holds the claim: its instance and request
 	State   State           `json:"state"`
 	Answer  json.RawMessage `json:"answer,omitempty"`
-	// Digest tells the call's request from another with the same key; empty in
-	// records of before it was kept.
+	// Digest identifies the call's request, to tell it from another one with the same
+	// key. It is empty in records written before the field existed.
 	Digest string `json:"digest,omitempty"`
 }
 
-// Claims are kept in a bucket for each day, so that old ones can be removed
-// without reading the others. A call's claim is looked for in the day before
-// and the day after too: a key is remembered for a day at least, and by
-// instances whose clocks are up to a day apart.
+// Claims are kept in one bucket for each day, so that old ones can be deleted without
+// reading the others. A claim is also looked up in the buckets of the day before and
+// the day after: a key must be remembered for at least a day, also by instances whose
+// clocks are up to a day apart.
 const (
 	day       = 24 * time.Hour
 	dayFormat = time.DateOnly
-	// RetentionDays is how many days before today a bucket is kept.
+	// RetentionDays is the number of days before today whose buckets are kept.
 	RetentionDays = 2
 )
 
-// Key returns the row key of a call's claim in the bucket of day at.
+// Key returns the row key of a call's claim in the bucket of the day of at, in UTC.
 func Key(at time.Time, call string) string {
 	return prefix + at.UTC().Format(dayFormat) + "/" + call
 }
 
-// ErrOtherRequest is wrapped by the error of a call whose key was used before
-// with another method or body: the answer to that is not its own.
-var ErrOtherRequest = errors.New("call: the key was used before for another request")
+// ErrOtherRequest is wrapped by the error of a call whose key was used before with
+// another method or body, so that the recorded answer is not that of the call.
+var ErrOtherRequest = errors.New("call: idempotency key was used before for another request")
 
-// Config is what claimers need.
+// Config configures Claimers.
 type Config struct {
 	Get     func(ctx context.Context, key string) (platform.Row, error)
 	Commit  func(ctx context.Context, ops ...platform.Op) ([]platform.Row, error)
 	Clock   clock.Clock
-	Timeout time.Duration    // of a read that confirms a write
-	RetryAt func() time.Time // when a caller that is turned away may come back
+	Timeout time.Duration    // bounds the read that confirms a write
+	RetryAt func() time.Time // returns when a refused caller may retry
 }
 
-// Claimer takes and moves one call's claim.
+// Claimer acquires the claim of one call for one attempt and changes its state.
 type Claimer struct {
-	cfg     Config
-	attempt string
-	digest  string
-	key     string   // of the row that is or will be the claim
-	absent  []string // keys of rows that must not exist
+	cfg       Config
+	attempt   string
+	digest    string
+	key       string   // of the claim's row
+	otherKeys []string // keys of the other days, of which there must be no rows
 }
 
-// New returns the Claimer of the attempt named attempt, which is unique, at the
-// call named call, whose request has the given digest.
+// New returns a Claimer for the attempt at a call. attempt is the unique ID of the
+// attempt, call identifies the call, and digest its request.
 func New(cfg Config, attempt, call, digest string) *Claimer {
 	now := cfg.Clock.Now()
-	return &Claimer{cfg: cfg, attempt: attempt, digest: digest, key: Key(now, call), absent: []string{Key(now.Add(-day), call), Key(now.Add(day), call)}}
+	return &Claimer{cfg: cfg, attempt: attempt, digest: digest, key: Key(now, call), otherKeys: []string{Key(now.Add(-day), call), Key(now.Add(day), call)}}
 }
 
 // Key returns the key of the claim's row.
 func (c *Claimer) Key() string { return c.key }
 
-// tries bounds Take under attempts that race.
-const tries = 4
+// maxAcquireAttempts bounds the attempts of Acquire when other attempts race with it.
+const maxAcquireAttempts = 4
 
-// Acquire makes this attempt the claim's holder, in state claimed. A claim
-// that is done gives its recorded answer instead; one that is sending
-// means the call may have run, and it is not sent again.
+// Acquire makes this attempt the holder of the claim, in state Claimed, and returns the
+// claim's row. If the claim is Done, it returns the recorded answer instead. If it is
+// Sending, the call may have run and must not be sent again: the error has the verdict
+// MayHaveRun. The error for a key that was used for another request wraps
+// ErrOtherRequest. All errors other than the one for Sending, and the one for a
+// malformed record, have the verdict NotRun.
 func (c *Claimer) Acquire(ctx context.Context) (platform.Row, json.RawMessage, error) {
 	var expect uint64
-	for range tries {
+	for range maxAcquireAttempts {
 		row, err := c.write(ctx, expect, Record{Attempt: c.attempt, State: Claimed, Digest: c.digest})
 		var ce *platform.ConflictError
 		switch {
 		case err == nil:
 			return row, nil, nil
 		case errors.As(err, &ce) && ce.Current.Version == 0:
-			expect = 0 // removed since it was read
+			expect = 0 // the claim was deleted after it was read
 		case errors.As(err, &ce):
-			answer, err := c.standing(ce.Current)
+			answer, err := c.resolve(ce.Current)
 			if err != nil || answer != nil {
 				return platform.Row{}, answer, err
 			}
@@ -115,33 +118,33 @@
 		default:
 			got, ok := c.confirm(ctx, Claimed)
 			if !ok {
-				return platform.Row{}, nil, c.unsent(err)
+				return platform.Row{}, nil, c.notSent(err)
 			}
 			return got, nil, nil
 		}
 	}
-	return platform.Row{}, nil, c.unsent(errors.New("claim kept changing"))
+	return platform.Row{}, nil, c.notSent(errors.New("claim changed on every attempt"))
 }
 
-// takeOver makes key, in whichever day's bucket, the claim's row: the claim
-// there was never sent.
+// takeOver makes key, which may be in the bucket of another day, the key of the claim.
+// The call of the claim in that row was never sent.
 func (c *Claimer) takeOver(key string) {
-	for i, k := range c.absent {
+	for i, k := range c.otherKeys {
 		if k == key {
-			c.key, c.absent[i] = key, c.key
+			c.key, c.otherKeys[i] = key, c.key
 		}
 	}
 }
 
-// write writes the claim at expect, on condition that no other day's bucket
-// holds one.
-func (c *Claimer) write(ctx context.Context, expect uint64, cl Record) (platform.Row, error) {
-	put, err := platform.Put(c.key, expect, cl)
+// write writes the claim on condition that its row has the version expect and that
+// there is no claim in the buckets of the other days.
+func (c *Claimer) write(ctx context.Context, expect uint64, record Record) (platform.Row, error) {
+	put, err := platform.Put(c.key, expect, record)
 	if err != nil {
 		return platform.Row{}, err
 	}
 	ops := []platform.Op{put}
-	for _, k := range c.absent {
+	for _, k := range c.otherKeys {
 		ops = append(ops, platform.Check(k, 0))
 	}
 	rows, err := c.cfg.Commit(ctx, ops...)
@@ -151,8 +154,9 @@
 	return rows[0], nil
 }
 
-// SetState rewrites the claim from row to state next, with the answer if there is one, failing NotRun if another
-// attempt took it over meanwhile.
+// SetState changes the state of the claim in row to next, and stores the answer if
+// there is one. It returns the new row. It returns a NotRun error if another attempt
+// has taken the claim over, or if the write cannot be confirmed.
 func (c *Claimer) SetState(ctx context.Context, row platform.Row, next State, answer json.RawMessage) (platform.Row, error) {
 	got, err := c.write(ctx, row.Version, Record{Attempt: c.attempt, State: next, Answer: answer, Digest: c.digest})
 	var ce *platform.ConflictError
@@ -160,16 +164,16 @@
 	case err == nil:
 		return got, nil
 	case errors.As(err, &ce):
-		return platform.Row{}, c.unsent(errors.New("another attempt took the claim over"))
+		return platform.Row{}, c.notSent(errors.New("another attempt took the claim over"))
 	}
 	if got, ok := c.confirm(ctx, next); ok {
 		return got, nil
 	}
-	return platform.Row{}, c.unsent(err)
+	return platform.Row{}, c.notSent(err)
 }
 
-// confirm re-reads the claim after a write whose answer was lost, and
-// reports whether the write took effect.
+// confirm reads the claim after a write that got no answer, and reports whether the
+// write took effect.
 func (c *Claimer) confirm(ctx context.Context, want State) (platform.Row, bool) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
@@ -177,26 +181,27 @@
 	if err != nil {
 		return platform.Row{}, false
 	}
-	var cl Record
-	if json.Unmarshal(row.Value, &cl) != nil || cl.Attempt != c.attempt || cl.State != want {
+	var record Record
+	if json.Unmarshal(row.Value, &record) != nil || record.Attempt != c.attempt || record.State != want {
 		return platform.Row{}, false
 	}
 	return row, true
 }
 
-// standing reads a claim found in the way: its answer if done, an error if
-// sending, or neither if only claimed.
-func (c *Claimer) standing(row platform.Row) (json.RawMessage, error) {
-	var cl Record
-	if err := json.Unmarshal(row.Value, &cl); err != nil {
-		return nil, verdict.New(verdict.MayHaveRun, http.StatusConflict, fmt.Errorf("call: unreadable claim: %w", err))
+// resolve evaluates an existing claim. It returns the recorded answer if the claim is
+// Done, an error if it is Sending or belongs to another request, and neither if it may
+// be taken over.
+func (c *Claimer) resolve(row platform.Row) (json.RawMessage, error) {
+	var record Record
+	if err := json.Unmarshal(row.Value, &record); err != nil {
+		return nil, verdict.New(verdict.MayHaveRun, http.StatusConflict, fmt.Errorf("call: decode claim: %w", err))
 	}
-	if cl.Digest != "" && cl.Digest != c.digest {
+	if record.Digest != "" && record.Digest != c.digest {
 		return nil, verdict.New(verdict.NotRun, http.StatusUnprocessableEntity, ErrOtherRequest)
 	}
-	switch cl.State {
+	switch record.State {
 	case Done:
-		return cl.Answer, nil
+		return record.Answer, nil
 	case Sending:
 		return nil, verdict.New(verdict.MayHaveRun, http.StatusConflict,
 			errors.New("call: a call with this key was sent before and its outcome is unknown; it will not be sent again"))
@@ -204,8 +209,8 @@
 	return nil, nil
 }
 
-// unsent is the error of a call refused before it was sent.
-func (c *Claimer) unsent(err error) error {
+// notSent returns the error of a call that was refused before it was sent.
+func (c *Claimer) notSent(err error) error {
 	return verdict.Refuse(http.StatusServiceUnavailable, c.cfg.RetryAt(),
 		fmt.Errorf("call: not sent: %w", err))
 }
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -15,8 +15,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// A claim that was never sent passes to another attempt, one that may have been
-// sent does not, and one that is done gives its answer, also a day later.
+// A claim whose call was never sent passes to another attempt, one whose call may have
+// been sent does not, and one that is done returns its answer, also 23 hours later. A
+// call with the same key and another request is refused.
 func TestClaim(t *testing.T) {
 	hs := httptest.NewServer(platformtest.New().Handler())
 	defer hs.Close()
@@ -28,27 +29,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken, answer, err := second.Acquire(ctx)
+	claimed, answer, err := second.Acquire(ctx)
 	if err != nil || answer != nil {
-		t.Fatal(answer, err)
+		t.Fatalf("Acquire by a second attempt: got answer %s, %v, want none", answer, err)
 	}
 	if _, err := first.SetState(ctx, row, claim.Sending, nil); verdict.Of(err) != verdict.NotRun {
-		t.Fatalf("sent though another attempt took it over: %v", err)
+		t.Fatalf("SetState after another attempt took the claim over: got %v, want a NotRun error", err)
 	}
-	if taken, err = second.SetState(ctx, taken, claim.Sending, nil); err != nil {
+	if claimed, err = second.SetState(ctx, claimed, claim.Sending, nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := claim.New(cfg, "c/1", "minho/plans/k", "d").Acquire(ctx); verdict.Of(err) != verdict.MayHaveRun {
-		t.Fatalf("a call that may have run is claimed: %v", err)
+		t.Fatalf("Acquire of a claim that is sending: got %v, want a MayHaveRun error", err)
 	}
-	if _, err := second.SetState(ctx, taken, claim.Done, json.RawMessage(`"answer"`)); err != nil {
+	if _, err := second.SetState(ctx, claimed, claim.Done, json.RawMessage(`"answer"`)); err != nil {
 		t.Fatal(err)
 	}
 	now.Advance(23 * time.Hour)
 	if _, answer, err := claim.New(cfg, "d/1", "minho/plans/k", "d").Acquire(ctx); err != nil || string(answer) != `"answer"` {
-		t.Fatal(string(answer), err)
+		t.Fatalf("Acquire of a claim that is done: got answer %s, %v, want %q", answer, err, `"answer"`)
 	}
 	if _, _, err := claim.New(cfg, "e/1", "minho/plans/k", "other").Acquire(ctx); !errors.Is(err, claim.ErrOtherRequest) || verdict.Of(err) != verdict.NotRun {
-		t.Fatalf("another request with the key: %v", err)
+		t.Fatalf("Acquire for another request: got %v, want a NotRun error that wraps ErrOtherRequest", err)
 	}
 }
