--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock lets time be replaced in tests, so that timeouts and lease
-// expiry are proved without depending on the machine's speed.
+// Package clock provides a Clock that tests can control, so that tests of timeouts and
+// lease expiry do not depend on the machine's speed.
 package clock
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Clock tells the time.
+// Clock provides the current time.
 type Clock interface {
 	Now() time.Time
 }
@@ -19,14 +19,14 @@
 // Now returns time.Now().
 func (System) Now() time.Time { return time.Now() }
 
-// Fake is a Clock that moves only when told to. Its zero value starts at the
-// zero time; it is safe for concurrent use.
+// Fake is a Clock that advances only when told to. Its zero value starts at the zero
+// time; it is safe for concurrent use.
 type Fake struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-// NewFake returns a Fake that reads start.
+// NewFake returns a Fake that starts at start.
 func NewFake(start time.Time) *Fake { return &Fake{now: start} }
 
 // Now returns the fake time.
@@ -43,7 +43,8 @@
 	f.mu.Unlock()
 }
 
-// Sleep waits for d and reports whether ctx goes on.
+// Sleep waits for d or until ctx is done, and reports false if ctx is done. It returns
+// at once if d is not positive.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/pkg/clock/wakeup.go
+++ b/pkg/clock/wakeup.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Wakeup ends a wait early. Its users wait one at a time; a ring while nobody waits
-// ends the next wait.
+// Wakeup ends a wait early. Only one goroutine may wait at a time; a signal while none
+// waits ends the next wait.
 type Wakeup chan struct{}
 
-// NewWakeup returns a Wakeup that has not rung.
+// NewWakeup returns a Wakeup without a signal.
 func NewWakeup() Wakeup { return make(Wakeup, 1) }
 
-// Signal ends the wait that is under way, or the next one.
+// Signal ends the current wait, or the next one if none waits.
 func (w Wakeup) Signal() {
 	select {
 	case w <- struct{}{}:
-	default: // it has rung already
+	default: // a signal is pending already
 	}
 }
 
-// Wait waits for d, until it rings or until ctx ends.
+// Wait waits for d, until a signal, or until ctx is done.
 func (w Wakeup) Wait(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
