--- a/pkg/watch/directory.go
+++ b/pkg/watch/directory.go
@@ -13,33 +13,35 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// Table is the table of the relays' rows, one for each slot of a data centre.
+// Table is the name of the store table that lists the relays: one row per slot of a data
+// centre.
 const Table = "relays"
 
-// Prefix returns the prefix of the relays' keys.
+// Prefix returns the prefix of the keys of Table.
 func Prefix() string { return Table + "//" }
 
-// Key returns the key of a slot of a data centre.
+// Key returns the key of the row of slot in dataCentre.
 func Key(dataCentre string, slot int) string {
 	return Prefix() + dataCentre + "/" + strconv.Itoa(slot)
 }
 
-// Relay is an instance that others follow tables through.
+// Relay is an instance through which others follow tables.
 type Relay struct {
-	StartID    string `json:"start"` // identifies the start of the instance
+	StartID    string `json:"start"` // ID of one start of the instance
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
 
-	Slot    int    `json:"-"` // of the data centre
-	version uint64 // of its row
+	Slot    int    `json:"-"` // slot number in the data centre
+	version uint64 // version of its row
 }
 
-// directory is which relays there are. It is not safe for concurrent use.
+// directory is the set of known relays. It is not safe for concurrent use.
 type directory struct {
 	relays map[string]Relay // by key
 }
 
-// apply takes rows of the table.
+// apply applies changes of Table; with reset set, they are the whole table. It returns an
+// error that joins those of malformed rows, and leaves these out.
 func (d *directory) apply(changes []platform.Change, reset bool) error {
 	if reset || d.relays == nil {
 		d.relays = map[string]Relay{}
@@ -60,65 +62,67 @@
 	return errors.Join(errs...)
 }
 
-// Decode returns the relay that has the slot of a row.
+// Decode returns the relay described by a row of Table. It fails if the key does not end
+// in a slot number or the value is malformed.
 func Decode(row platform.Row) (Relay, error) {
 	_, slot, ok := strings.Cut(strings.TrimPrefix(row.Key, Prefix()), "/")
 	n, err := strconv.Atoi(slot)
 	if !ok || err != nil {
-		return Relay{}, fmt.Errorf("watch: %s: not a slot", row.Key)
+		return Relay{}, fmt.Errorf("watch: relay row %s: key does not end in a slot number", row.Key)
 	}
 	r := Relay{Slot: n, version: row.Version}
 	if err := json.Unmarshal(row.Value, &r); err != nil {
-		return Relay{}, fmt.Errorf("watch: %s: %w", row.Key, err)
+		return Relay{}, fmt.Errorf("watch: relay row %s: %w", row.Key, err)
 	}
 	return r, nil
 }
 
-// set takes the relays there are.
-func (d *directory) set(relays []Relay) {
+// replace makes relays the content of d.
+func (d *directory) replace(relays []Relay) {
 	d.relays = make(map[string]Relay, len(relays))
 	for _, r := range relays {
 		d.relays[Key(r.DataCentre, r.Slot)] = r
 	}
 }
 
-// take takes a relay for the one that has a key.
-func (d *directory) take(key string, r Relay) {
+// put records r as the relay in the slot with the given key.
+func (d *directory) put(key string, r Relay) {
 	if d.relays == nil {
 		d.relays = map[string]Relay{}
 	}
 	d.relays[key] = r
 }
 
-// all returns the relays there are, in no order.
+// all returns the known relays, in no order.
 func (d *directory) all() []Relay { return slices.Collect(maps.Values(d.relays)) }
 
-// of returns the relay that has a key, if there is one.
-func (d *directory) of(key string) (Relay, bool) {
+// get returns the relay in the slot with the given key, if there is one.
+func (d *directory) get(key string) (Relay, bool) {
 	r, ok := d.relays[key]
 	return r, ok
 }
 
-// nearest returns the relays to try, those of the own data centre first, else in the
-// order of draw, which is asked once for each. The one with the start given is left out.
-func (d *directory) nearest(dataCentre, start string, draw func() float64) []Relay {
-	type placed struct {
+// nearest returns the relays in the order in which to try them: those of dataCentre
+// first, and within each group in random order. random returns a number in [0, 1) and is
+// called once per relay. The relay whose start ID is start is left out.
+func (d *directory) nearest(dataCentre, start string, random func() float64) []Relay {
+	type ranked struct {
 		Relay
-		at float64
+		rank float64
 	}
-	var all []placed
+	var all []ranked
 	for _, r := range d.relays {
 		if r.StartID == start {
 			continue
 		}
-		p := placed{r, draw()}
+		p := ranked{r, random()}
 		if r.DataCentre != dataCentre {
-			p.at++
+			p.rank++
 		}
 		all = append(all, p)
 	}
-	slices.SortFunc(all, func(a, b placed) int {
-		if a.at < b.at {
+	slices.SortFunc(all, func(a, b ranked) int {
+		if a.rank < b.rank {
 			return -1
 		}
 		return 1
@@ -130,57 +134,60 @@
 	return out
 }
 
-// wanted is how many relays with room for others a data centre is to have, so that one
-// of them may be lost.
-const wanted = 2
+// minUsable is how many relays with room for more watchers a data centre should have, so
+// that one of them may fail.
+const minUsable = 2
 
-// vacancy is a slot that an instance may take.
-type vacancy struct {
+// freeSlot is a slot that an instance may claim.
+type freeSlot struct {
 	key     string
-	version uint64 // of its row; 0 if it has none
+	version uint64 // version of its row; 0 if there is no row
 }
 
-// condition is how an instance has found a relay.
-type condition int
+// relayState is the state in which an instance last found a relay.
+type relayState int
 
 const (
-	useful condition = iota
-	full             // it has no room
-	gone             // it relays no more
+	usable relayState = iota
+	full              // it has no room for another watcher
+	gone              // it no longer acts as a relay
 )
 
-// vacant returns a slot of a data centre that is to be taken, the lowest that is free:
-// none if there are relays of use enough.
+// findFreeSlot returns the lowest slot of dataCentre that an instance may claim. It
+// reports false if there are enough usable relays already.
 //
-// It answers three loads. A site has become large: slots are taken one after the other
-// until two relays have room. A relay is lost: its slot is taken. Instances come back by
-// the hundred and relays are full: each slot that is taken draws some of them.
-func (d *directory) vacant(dataCentre string, of func(Relay) condition) (vacancy, bool) {
-	var free *vacancy
+// It covers three situations. When a site grows, slots are claimed one after the other
+// until two relays have room. When a relay fails, its slot is claimed. When hundreds of
+// instances reconnect and the relays are full, each slot that is claimed takes over some
+// of them.
+func (d *directory) findFreeSlot(dataCentre string, state func(Relay) relayState) (freeSlot, bool) {
+	var free *freeSlot
 	found := 0
-	// Of one slot more than there are relays one at least is free.
+	// Among len(d.relays)+1 slots, at least one is free.
 	for slot := range len(d.relays) + 1 {
 		key := Key(dataCentre, slot)
 		r, taken := d.relays[key]
 		switch {
-		case taken && of(r) == useful:
+		case taken && state(r) == usable:
 			found++
-		case taken && of(r) == full:
+		case taken && state(r) == full:
 		case free == nil:
-			free = &vacancy{key: key, version: r.version}
+			free = &freeSlot{key: key, version: r.version}
 		}
 	}
-	if found >= wanted || free == nil {
-		return vacancy{}, false
+	if found >= minUsable || free == nil {
+		return freeSlot{}, false
 	}
 	return *free, true
 }
 
-// claimAt returns when an instance may take a slot that it has found free at now: larger
-// ones before smaller ones, and each at a time of its own.
-func claimAt(now time.Time, cores, draw float64) time.Time {
-	return now.Add(time.Duration((1 + draw) * float64(claimDelay) / max(cores, minCores)))
+// claimAt returns when an instance with the given number of cores may claim a slot that
+// it has found free at now. Larger instances claim earlier than smaller ones, and random,
+// in [0, 1), spreads the claims of equal ones.
+func claimAt(now time.Time, cores, random float64) time.Time {
+	return now.Add(time.Duration((1 + random) * float64(claimDelay) / max(cores, minCores)))
 }
 
-// minCores stands for sizes that are not told.
+// minCores is the smallest size that claimAt counts with; it also stands for an unknown
+// size.
 const minCores = 0.05
--- a/pkg/watch/follower.go
+++ b/pkg/watch/follower.go
@@ -13,50 +13,50 @@
 )
 
 var (
-	errNoSource  = fmt.Errorf("%w: watch: no relay, and the store is not read", platform.ErrUnavailable)
-	errRelayLost = fmt.Errorf("%w: watch: the relay has lost the store", platform.ErrUnavailable)
-	errFull      = errors.New("watch: the relay is full")
-	errLeaving   = errors.New("watch: the relay is about to stop")
-	errBehind    = errors.New("watch: the relay knows less than is known here")
+	errNoSource          = fmt.Errorf("%w: watch: no relay is available and the store is not being read", platform.ErrUnavailable)
+	errRelayWithoutStore = fmt.Errorf("%w: watch: the relay cannot reach the store", platform.ErrUnavailable)
+	errFull              = errors.New("watch: the relay has no room for another watcher")
+	errLeaving           = errors.New("watch: the relay is about to stop")
+	errBehind            = errors.New("watch: the relay's tables are older than those known here")
 )
 
-// scanRows is how many relays are read at the most.
-const scanRows = 500
+// maxRelayRows is the maximum number of rows of Table that are read at a time.
+const maxRelayRows = 500
 
-// eventQueue is how many events may wait for the machine.
-const eventQueue = 64
+// eventQueueSize is the capacity of the queue of events for the Machine.
+const eventQueueSize = 64
 
-// Follower follows tables, by what its Machine decides. Call New, then Run; the other
-// methods may be called at any time.
+// Follower follows tables as its Machine decides. Call New, then Run; the other methods
+// may be called at any time.
 type Follower struct {
 	cfg    Config
 	events chan any
 
-	mu     sync.Mutex
-	source Source
-	lostAt time.Time // when the last source was lost
-	dir    directory
-	relay  *relay            // nil while this instance is none
-	from   map[string]uint64 // up to which versions tables are known
-
-	// What follows belongs to Run.
-	machine *Machine
-	tries   map[string]*try // by address
-	stop    func()          // ends what is followed, and returns when it has ended
+	mu           sync.Mutex
+	source       Source
+	sourceLostAt time.Time // when the last source became unavailable
+	dir          directory
+	relay        *relay            // nil while this instance is no relay
+	versions     map[string]uint64 // by table: the version up to which it is known
+
+	// The fields below are used by Run only.
+	machine  *Machine
+	attempts map[string]*attempt // by address
+	stop     func()              // ends the current source and returns after it has ended
 }
 
-// try is a relay that is tried, or was and has answered.
-type try struct {
+// attempt is a connection to a relay that is being opened, or is open.
+type attempt struct {
 	cancel context.CancelFunc
-	joined joined // once it has answered
+	conn   conn // set once the relay has answered
 }
 
-// joined is a watch at a relay, and the news that it began with.
-type joined struct {
+// conn is a link to a relay, with a watch of Table and the first update from it.
+type conn struct {
 	Relay
-	session Stream
-	link    Link
-	first   peer.WatchUpdate
+	stream Stream
+	link   Link
+	first  peer.WatchUpdate
 }
 
 // New returns a Follower.
@@ -64,14 +64,14 @@
 	if cfg.OnEvent == nil {
 		cfg.OnEvent = func(Event) {}
 	}
-	f := &Follower{cfg: cfg, events: make(chan any, eventQueue), source: Source{Kind: None}, lostAt: time.Now(), from: map[string]uint64{},
-		tries: map[string]*try{}, stop: func() {}}
+	f := &Follower{cfg: cfg, events: make(chan any, eventQueueSize), source: Source{Kind: None}, sourceLostAt: time.Now(), versions: map[string]uint64{},
+		attempts: map[string]*attempt{}, stop: func() {}}
 	f.machine = NewMachine(MachineConfig{StartID: cfg.StartID, DataCentre: cfg.DataCentre, Cores: cfg.Cores, CanRelay: cfg.Address != "",
 		UseRelays: cfg.UseRelays, Live: cfg.Live, Watchers: f.Watchers, Rand: cfg.Rand})
 	return f
 }
 
-// Source returns what the tables are followed by.
+// Source returns the source that the tables are followed from.
 func (f *Follower) Source() Source {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,7 +81,7 @@
 // Run follows the tables until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	defer func() {
-		f.endTries("")
+		f.closeConnections("")
 		f.stop()
 	}()
 	if f.cfg.Dial == nil {
@@ -98,8 +98,8 @@
 			timer.Stop()
 			return nil
 		case ev := <-f.events:
-			if a, ok := ev.(answered); ok {
-				if ev, ok = f.onAnswered(a); !ok {
+			if a, ok := ev.(connectResult); ok {
+				if ev, ok = f.onConnectResult(a); !ok {
 					continue
 				}
 			}
@@ -111,12 +111,12 @@
 	}
 }
 
-// idleTime is how long the machine is left alone that wants no time.
-const idleTime = time.Minute
+// idleTick is the time until the next Ticked if the Machine asks for none.
+const idleTick = time.Minute
 
 func untilNext(next time.Time) time.Duration {
 	if next.IsZero() {
-		return idleTime
+		return idleTick
 	}
 	return time.Until(next)
 }
@@ -127,7 +127,7 @@
 	}
 }
 
-// post has the machine reduce ev.
+// post queues ev for the Machine.
 func (f *Follower) post(ctx context.Context, ev any) {
 	select {
 	case f.events <- ev:
@@ -135,7 +135,8 @@
 	}
 }
 
-// carryOut begins what the machine asks for. Outcomes are posted.
+// carryOut carries out an effect of the Machine, or starts to. Outcomes are posted as
+// events.
 func (f *Follower) carryOut(ctx context.Context, eff Effect) {
 	switch e := eff.(type) {
 	case ReadDirectory:
@@ -145,11 +146,11 @@
 			return nil
 		})
 	case Connect:
-		f.begin(ctx, e.Relay)
+		f.startConnect(ctx, e.Relay)
 	case CloseConnections:
-		f.endTries(e.Keep)
+		f.closeConnections(e.Keep)
 	case OpenWatch:
-		f.open(ctx, e.Relay)
+		f.openWatch(ctx, e.Relay)
 	case ReadStore:
 		f.stop()
 		f.stop = f.readStore(ctx)
@@ -160,7 +161,7 @@
 		})
 	case StartRelay:
 		f.stop()
-		f.stop = f.serve(ctx, e.Key)
+		f.stop = f.startRelay(ctx, e.Key)
 	case StopRelay:
 		f.stop()
 		f.stop = func() {}
@@ -170,20 +171,20 @@
 			f.cfg.OnUpdate(ctx, feed.Update{Table: t.Name, At: time.Now(), Err: errNoSource})
 		}
 	case SetSource:
-		f.take(e)
+		f.setSource(e)
 	}
 }
 
-// take tells what the tables are followed by from now on.
-func (f *Follower) take(t SetSource) {
+// setSource records the source in use and reports a change of it to OnEvent.
+func (f *Follower) setSource(t SetSource) {
 	now := time.Now()
 	f.mu.Lock()
 	e := Event{Source: t.Source, Reason: t.Reason}
 	if f.source.Kind == None && t.Source.Kind != None {
-		e.Downtime = now.Sub(f.lostAt)
+		e.Downtime = now.Sub(f.sourceLostAt)
 	}
 	if f.source.Kind != None && t.Source.Kind == None {
-		f.lostAt = now
+		f.sourceLostAt = now
 	}
 	changed := f.source != t.Source
 	f.source = t.Source
@@ -193,21 +194,22 @@
 	}
 }
 
-// tell passes on what was learned of a table, and keeps up to which version it is known.
-func (f *Follower) tell(ctx context.Context, u feed.Update) {
+// notify passes an update to OnUpdate and records the version up to which its table is
+// known.
+func (f *Follower) notify(ctx context.Context, u feed.Update) {
 	if u.Err == nil {
 		f.mu.Lock()
-		f.from[u.Table] = u.Version
+		f.versions[u.Table] = u.Version
 		f.mu.Unlock()
 	}
 	f.cfg.OnUpdate(ctx, u)
 }
 
-// readDirectory reads which relays there are.
+// readDirectory reads Table from the store and returns the relays in it.
 func (f *Follower) readDirectory(ctx context.Context) ([]Relay, error) {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	page, err := f.cfg.Store.ScanFrom(ctx, Prefix(), "", scanRows)
+	page, err := f.cfg.Store.ScanFrom(ctx, Prefix(), "", maxRelayRows)
 	if err != nil {
 		return nil, err
 	}
@@ -215,12 +217,12 @@
 	for i, r := range page.Rows {
 		changes[i] = platform.Change{Row: r}
 	}
-	return f.learnRelays(changes, true), nil
+	return f.applyRelays(changes, true), nil
 }
 
-// learnRelays takes rows of the relays' table and returns all relays. A row that cannot be
-// read names none.
-func (f *Follower) learnRelays(changes []platform.Change, reset bool) []Relay {
+// applyRelays applies changes of Table and returns all relays. Malformed rows are
+// reported to OnEvent and left out.
+func (f *Follower) applyRelays(changes []platform.Change, reset bool) []Relay {
 	f.mu.Lock()
 	err := f.dir.apply(changes, reset)
 	relays := f.dir.all()
@@ -231,16 +233,17 @@
 	return relays
 }
 
-// claim takes a slot.
+// claim writes the row of this instance into a slot. It fails if another instance has
+// written the row since.
 func (f *Follower) claim(ctx context.Context, c ClaimSlot) error {
 	op, err := platform.Put(c.Key, c.Version, Relay{StartID: f.cfg.StartID, Address: f.cfg.Address, DataCentre: f.cfg.DataCentre})
 	if err == nil {
-		cctx, cancel := context.WithTimeout(ctx, storeTime)
+		cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		_, err = f.cfg.Store.Commit(cctx, op)
 	}
 	if err != nil {
-		f.cfg.OnEvent(Event{Source: f.Source(), Err: fmt.Errorf("watch: slot %s not taken: %w", c.Key, err)})
+		f.cfg.OnEvent(Event{Source: f.Source(), Err: fmt.Errorf("watch: claim relay slot %s: %w", c.Key, err)})
 	}
 	return err
 }
--- a/pkg/watch/machine.go
+++ b/pkg/watch/machine.go
@@ -5,120 +5,128 @@
 	"time"
 )
 
-// Events that a Machine reduces. Each tells when it happened.
+// Events that a Machine reduces. The Follower sends them; At is when the event occurred.
 type (
-	// Started tells that the instance follows nothing yet.
+	// Started is sent once, when Run starts. The Machine reads the directory of relays.
 	Started struct{ At time.Time }
-	// Ticked tells the time, at the latest at what Next returned.
+	// Ticked gives the current time. It is sent at the time returned by Next; the Machine
+	// does what is due.
 	Ticked struct{ At time.Time }
-	// DirectoryRead tells the outcome of a ReadDirectory.
+	// DirectoryRead is the outcome of a ReadDirectory. The Machine starts a search,
+	// claims a slot or reads the store.
 	DirectoryRead struct {
 		At     time.Time
-		Relays []Relay // nothing if Err is set
+		Relays []Relay // nil if Err is set
 		Err    error
 	}
-	// DirectoryChanged tells that relays have come, gone or changed, by the table that is
-	// followed.
+	// DirectoryChanged is sent when rows of the followed directory change. The Machine
+	// replaces its list of relays.
 	DirectoryChanged struct {
 		At     time.Time
-		Relays []Relay // all there are
+		Relays []Relay // all relays
 	}
-	// ConnectDone tells the outcome of a Try.
+	// ConnectDone is the outcome of a Connect. The Machine uses the relay, or goes on
+	// searching.
 	ConnectDone struct {
 		At      time.Time
 		Address string
 		Outcome ConnectOutcome
 	}
-	// WatchOpened tells the outcome of an Open.
+	// WatchOpened is the outcome of an OpenWatch. The Machine records the source, or
+	// searches for another relay.
 	WatchOpened struct {
 		At  time.Time
-		Err error // nil for a watch that runs
+		Err error // nil if the watch is open
 	}
-	// RelayStatus tells what a watch has told of its relay.
+	// RelayStatus is sent when the status of the watched relay changes. The Machine looks
+	// for another relay if this one is leaving, or is without the store for long.
 	RelayStatus struct {
 		At               time.Time
-		StoreUnavailable bool // the relay has lost the store
+		StoreUnavailable bool // the relay cannot reach the store
 		Leaving          bool // the relay is about to stop
 	}
-	// WatchEnded tells that a watch has ended.
+	// WatchEnded is sent when a watch ends. The Machine searches for another relay.
 	WatchEnded struct {
 		At     time.Time
 		Reason string
 	}
-	// ClaimDone tells the outcome of a Claim.
+	// ClaimDone is the outcome of a ClaimSlot. The Machine starts relaying, or reads the
+	// directory again.
 	ClaimDone struct {
 		At  time.Time
 		Err error
 	}
-	// RelayingDisabled tells that this instance is to be no relay any more, and never again.
+	// RelayingDisabled is sent when this instance must not act as a relay any more. The
+	// Machine claims no slot from then on.
 	RelayingDisabled struct{ At time.Time }
 )
 
-// Effects that a Machine asks for.
+// Effects of a Machine. The Follower carries them out.
 type (
-	// ReadDirectory reads the relays' table from the store.
+	// ReadDirectory reads the directory, the table of relays, from the store.
 	ReadDirectory struct{}
-	// Connect opens a link to a relay, and a watch of the relays' table.
+	// Connect opens a link to a relay and a watch of the directory there.
 	Connect struct{ Relay Relay }
-	// CloseConnections closes what Tries have opened, and gives up those under way, but for the
-	// relay at the address Keep.
+	// CloseConnections cancels and closes what Connect effects have opened, except for
+	// the relay at the address Keep.
 	CloseConnections struct{ Keep string }
-	// OpenWatch ends what is followed, and watches all tables at a relay that was tried.
+	// OpenWatch ends the current source and watches all tables at a connected relay.
 	OpenWatch struct{ Relay Relay }
-	// ReadStore ends what is followed, and reads the tables from the store.
+	// ReadStore ends the current source and reads the tables from the store.
 	ReadStore struct{}
-	// ClaimSlot takes a slot.
+	// ClaimSlot writes the row of this instance into a slot of the directory.
 	ClaimSlot struct {
 		Key     string
-		Version uint64 // of its row; 0 if it has none
+		Version uint64 // version of the row to replace; 0 if there is no row
 	}
-	// StartRelay ends what is followed, and reads the tables from the store for others.
+	// StartRelay ends the current source and makes this instance the relay in the slot
+	// Key, which reads the tables from the store for its watchers.
 	StartRelay struct{ Key string }
-	// StopRelay ends that.
+	// StopRelay stops acting as a relay.
 	StopRelay struct{}
-	// NotifyUnavailable tells that the tables cannot be read for now.
+	// NotifyUnavailable notifies OnUpdate that the tables cannot be read for now.
 	NotifyUnavailable struct{}
-	// SetSource tells what the tables are followed by from now on, and why.
+	// SetSource records the source of the tables from now on, and the reason.
 	SetSource struct {
 		Source Source
 		Reason string
 	}
 )
 
-// Effect is one of the effects.
+// Effect is one of the effects above.
 type Effect any
 
-// ConnectOutcome is what became of a Try.
+// ConnectOutcome is the outcome of a Connect.
 type ConnectOutcome int
 
-// The outcomes of a Try.
+// The outcomes of a Connect.
 const (
-	RelayReady        ConnectOutcome = iota // the relay has the store
-	RelayWithoutStore                       // the relay has lost it
-	RelayFull                               // the relay has no room
-	RelayGone                               // there is no relay, or it is about to stop
+	RelayReady        ConnectOutcome = iota // the relay reaches the store
+	RelayWithoutStore                       // the relay cannot reach the store
+	RelayFull                               // the relay has no room for another watcher
+	RelayGone                               // there is no relay at the address, or it is about to stop
 )
 
 // MachineConfig configures a Machine.
 type MachineConfig struct {
-	StartID    string  // identifies the start of this instance
-	DataCentre string  // that it is in
-	Cores      float64 // processor cores that it has
-	CanRelay   bool    // others can connect to it
-	// UseRelays reports whether the tables are so large that they are not to be read by
-	// each instance.
+	StartID    string  // ID of this start of the instance
+	DataCentre string  // data centre of this instance
+	Cores      float64 // processor cores of this instance
+	CanRelay   bool    // other instances can connect to this one
+	// UseRelays reports whether the site is too large for each instance to read the
+	// tables from the store.
 	UseRelays func() bool
-	// Live reports whether the instance with a start is there; known is false while
-	// that cannot be told.
+	// Live reports whether the instance with a start ID is live; known is false while
+	// that cannot be determined.
 	Live func(start string) (live, known bool)
 	// Watchers returns how many instances follow tables through this one.
 	Watchers func() int
-	// Rand returns a number drawn evenly from [0, 1).
+	// Rand returns a random number, uniformly distributed over [0, 1).
 	Rand func() float64
 }
 
-// Machine decides what an instance follows tables by. It does no I/O: it is told events
-// and returns effects, whose outcomes are events.
+// Machine decides where an instance gets its tables from. It is a pure state machine
+// without I/O: it reduces events to effects, whose outcomes are events again.
 type Machine struct {
 	cfg MachineConfig
 
@@ -126,96 +134,97 @@
 	dir     directory
 	avoided map[string]avoidance // by address
 	search  *search
-	// known means that the tables have been followed, so that they can be read on from
-	// the versions that are known.
-	known     bool
-	why       string // the last source was left, or none was taken yet
-	lookAt    time.Time
-	giveUpAt  time.Time // when an instance that knows nothing reads the store
-	looks     int       // at the directory since the last source was left
-	claimAt   time.Time // when a free slot may be taken; zero while none is known to be free
-	claiming  ClaimSlot // that is under way, or was carried out; zero for none
-	left      bool
-	relay     Relay     // that is watched
-	lostAt    time.Time // since when it has lost the store; zero if it has not
-	farFromAt time.Time // from when relays of other data centres will do
+	// hasVersions means that there was a source before, so that the tables can be read
+	// from their known versions on.
+	hasVersions      bool
+	reason           string // why the last source was left; "begins" before the first
+	nextCheckAt      time.Time
+	readStoreAt      time.Time // when an instance without versions falls back to the store
+	directoryReads   int       // reads of the directory since the last source was left
+	claimAt          time.Time // when this instance may claim a free slot; zero while no slot is known to be free
+	claiming         ClaimSlot // claim in flight or carried out; zero for none
+	relayingDisabled bool
+	relay            Relay     // relay that is watched
+	storeLostAt      time.Time // since when the watched relay cannot reach the store; zero if it can
+	acceptRemoteAt   time.Time // when relays of other data centres become acceptable
 }
 
-// mode is what a Machine is about.
+// mode is the state of a Machine.
 type mode int
 
 const (
-	seeking  mode = iota // nothing is followed
-	opening              // a watch is being opened
-	watching             // a relay is followed
-	direct               // the tables are read from the store
-	serving              // and for others
+	searching    mode = iota // no source; a search is under way or scheduled
+	opening                  // a watch is being opened
+	watching                 // a relay is the source
+	readingStore             // the tables are read from the store
+	relaying                 // the tables are read from the store, for watchers too
 )
 
-// avoidance tells why a relay is not tried for a while.
+// avoidance records why and until when a relay is left out of searches.
 type avoidance struct {
 	until time.Time
-	found condition
+	found relayState
 }
 
-// NewMachine returns a Machine that is to be told Began.
+// NewMachine returns a Machine. Its first event must be Started.
 func NewMachine(cfg MachineConfig) *Machine {
-	return &Machine{cfg: cfg, avoided: map[string]avoidance{}, why: "begins"}
+	return &Machine{cfg: cfg, avoided: map[string]avoidance{}, reason: "begins"}
 }
 
-// Next returns when the Machine wants to be told the time; zero for no time.
+// Next returns when the next Ticked is due; zero for none.
 func (m *Machine) Next() time.Time {
 	if m.search != nil {
 		return m.search.next()
 	}
-	return m.lookAt
+	return m.nextCheckAt
 }
 
-// Reduce applies ev and returns what to do.
+// Reduce applies an event and returns its effects.
 func (m *Machine) Reduce(ev any) []Effect {
 	switch e := ev.(type) {
 	case Started:
-		m.giveUpAt = e.At.Add(patience)
+		m.readStoreAt = e.At.Add(storeFallbackDelay)
 		return []Effect{ReadDirectory{}}
 	case Ticked:
 		return m.onTick(e.At)
 	case DirectoryRead:
-		return m.onDirectory(e)
+		return m.onDirectoryRead(e)
 	case DirectoryChanged:
-		m.dir.set(e.Relays)
+		m.dir.replace(e.Relays)
 	case ConnectDone:
-		return m.onTried(e)
+		return m.onConnectDone(e)
 	case WatchOpened:
-		return m.onOpened(e)
+		return m.onWatchOpened(e)
 	case RelayStatus:
-		return m.onHeard(e)
+		return m.onRelayStatus(e)
 	case WatchEnded:
 		if m.mode == watching {
 			m.avoid(m.relay.Address, gone, e.At)
-			return append([]Effect{SetSource{Source{Kind: None}, e.Reason}}, m.seek(e.At, e.Reason)...)
+			return append([]Effect{SetSource{Source{Kind: None}, e.Reason}}, m.restartSearch(e.At, e.Reason)...)
 		}
 	case ClaimDone:
-		return m.onClaimed(e)
+		return m.onClaimDone(e)
 	case RelayingDisabled:
-		m.left = true
+		m.relayingDisabled = true
 	}
 	return nil
 }
 
-// seek begins to look for a relay, first among those that are known.
-func (m *Machine) seek(now time.Time, why string) []Effect {
-	m.mode, m.why, m.looks, m.lookAt, m.search = seeking, why, 0, time.Time{}, nil
-	return append([]Effect{CloseConnections{}}, m.find(now)...)
+// restartSearch leaves the current source and starts a search among the known relays.
+func (m *Machine) restartSearch(now time.Time, reason string) []Effect {
+	m.mode, m.reason, m.directoryReads, m.nextCheckAt, m.search = searching, reason, 0, time.Time{}, nil
+	return append([]Effect{CloseConnections{}}, m.searchAll(now)...)
 }
 
-// find tries all relays that are known. An instance that knows the tables does not wait
-// long: what it knows grows old, and to read on from the store costs little.
-func (m *Machine) find(now time.Time) []Effect {
-	limit := raceTime
-	if m.known {
-		limit = quickRaceTime
+// searchAll starts a search among all known relays. An instance with versions searches
+// for a shorter time: what it knows becomes outdated, and continuing from the store costs
+// little.
+func (m *Machine) searchAll(now time.Time) []Effect {
+	limit := searchTimeout
+	if m.hasVersions {
+		limit = shortSearchTimeout
 	}
-	return m.race(now, forAny, m.candidates(now, true), limit)
+	return m.startSearch(now, forAny, m.candidates(now, true), limit)
 }
 
 func (m *Machine) onTick(now time.Time) []Effect {
@@ -224,104 +233,104 @@
 			return nil
 		}
 		if !now.Before(m.search.endsAt) {
-			return m.searched(now)
+			return m.endSearch(now)
 		}
-		return m.tryNext(now)
+		return m.connectNext(now)
 	}
-	if m.lookAt.IsZero() || now.Before(m.lookAt) {
+	if m.nextCheckAt.IsZero() || now.Before(m.nextCheckAt) {
 		return nil
 	}
-	m.lookAt = time.Time{}
+	m.nextCheckAt = time.Time{}
 	switch m.mode {
-	case seeking:
+	case searching:
 		return []Effect{ReadDirectory{}}
-	case direct:
+	case readingStore:
 		if m.cfg.UseRelays() {
 			return []Effect{ReadDirectory{}}
 		}
-		m.lookAgain(now)
+		m.scheduleSearch(now)
 	case watching:
 		return m.check(now)
-	case serving:
-		if m.cfg.Watchers() == 0 && !m.holds(m.claiming.Key) {
+	case relaying:
+		if m.cfg.Watchers() == 0 && !m.holdsSlot(m.claiming.Key) {
 			m.claiming = ClaimSlot{}
-			return append([]Effect{StopRelay{}, SetSource{Source{Kind: None}, "its slot is another's"}}, m.seek(now, "its slot is another's")...)
+			return append([]Effect{StopRelay{}, SetSource{Source{Kind: None}, "another instance has its slot"}}, m.restartSearch(now, "another instance has its slot")...)
 		}
-		m.lookAt = now.Add(checkPause)
+		m.nextCheckAt = now.Add(checkPeriod)
 	}
 	return nil
 }
 
-// lookAgain has the time be told when relays are looked for again.
-func (m *Machine) lookAgain(now time.Time) {
-	pause := time.Duration((0.5 + m.cfg.Rand()) * float64(lookPause))
+// scheduleSearch schedules the next search for a relay, at the claim time at the latest.
+func (m *Machine) scheduleSearch(now time.Time) {
+	pause := time.Duration((0.5 + m.cfg.Rand()) * float64(searchPeriod))
 	if !m.claimAt.IsZero() {
-		pause = min(pause, max(m.claimAt.Sub(now), minPause))
+		pause = min(pause, max(m.claimAt.Sub(now), minSearchPause))
 	}
-	m.lookAt = now.Add(pause)
+	m.nextCheckAt = now.Add(pause)
 }
 
-func (m *Machine) onDirectory(e DirectoryRead) []Effect {
+func (m *Machine) onDirectoryRead(e DirectoryRead) []Effect {
 	if e.Err == nil {
-		m.dir.set(e.Relays)
+		m.dir.replace(e.Relays)
 	}
-	if m.mode == serving {
+	if m.mode == relaying {
 		return nil
 	}
-	if m.claiming != (ClaimSlot{}) && m.holds(m.claiming.Key) {
-		return m.serve(e.At) // the answer to its claim was lost
+	if m.claiming != (ClaimSlot{}) && m.holdsSlot(m.claiming.Key) {
+		return m.becomeRelay(e.At) // the claim succeeded, but its answer was lost
 	}
 	m.claiming = ClaimSlot{}
 	switch m.mode {
-	case seeking:
+	case searching:
 		if e.Err == nil && len(m.dir.relays) == 0 && !m.cfg.UseRelays() {
-			return m.readStore(e.At) // a small site
+			return m.readStore(e.At) // a small site without relays
 		}
-		return m.find(e.At)
-	case direct:
+		return m.searchAll(e.At)
+	case readingStore:
 		if e.Err != nil {
-			m.lookAgain(e.At)
+			m.scheduleSearch(e.At)
 			return nil
 		}
 		if effs := m.claim(e.At); effs != nil {
 			return effs
 		}
-		return m.race(e.At, forBetter, m.candidates(e.At, !e.At.Before(m.farFromAt)), raceTime)
+		return m.startSearch(e.At, forBetter, m.candidates(e.At, !e.At.Before(m.acceptRemoteAt)), searchTimeout)
 	case watching:
-		m.lookAt = e.At.Add(checkPause)
+		m.nextCheckAt = e.At.Add(checkPeriod)
 	}
 	return nil
 }
 
-// notFound decides what to do where no relay was found.
-func (m *Machine) notFound(now time.Time) []Effect {
+// noRelayFound returns the effects of a search without a result.
+func (m *Machine) noRelayFound(now time.Time) []Effect {
 	if effs := m.claim(now); effs != nil {
 		return effs
 	}
-	if m.known && m.looks > 0 || !m.known && now.After(m.giveUpAt) {
+	if m.hasVersions && m.directoryReads > 0 || !m.hasVersions && now.After(m.readStoreAt) {
 		return m.readStore(now)
 	}
-	m.looks++
-	if m.known {
+	m.directoryReads++
+	if m.hasVersions {
 		return []Effect{NotifyUnavailable{}, ReadDirectory{}}
 	}
-	m.lookAgain(now)
+	m.scheduleSearch(now)
 	return []Effect{NotifyUnavailable{}}
 }
 
 func (m *Machine) readStore(now time.Time) []Effect {
-	m.mode, m.known = direct, true
-	m.farFromAt = now.Add(patience)
-	m.lookAgain(now)
-	return []Effect{ReadStore{}, SetSource{Source{Kind: FromStore}, m.why}}
+	m.mode, m.hasVersions = readingStore, true
+	m.acceptRemoteAt = now.Add(storeFallbackDelay)
+	m.scheduleSearch(now)
+	return []Effect{ReadStore{}, SetSource{Source{Kind: FromStore}, m.reason}}
 }
 
-// claim returns the effects of taking a slot, nil if none is to be taken now.
+// claim returns the effects of claiming a slot, nil if none is to be claimed now.
 func (m *Machine) claim(now time.Time) []Effect {
-	if !m.cfg.CanRelay || m.left || m.claiming != (ClaimSlot{}) {
+	if !m.cfg.CanRelay || m.relayingDisabled || m.claiming != (ClaimSlot{}) {
 		return nil
 	}
-	v, ok := m.dir.vacant(m.cfg.DataCentre, func(r Relay) condition { return m.condition(r, now) })
+	v, ok := m.dir.findFreeSlot(m.cfg.DataCentre, func(r Relay) relayState { return m.stateOf(r, now) })
 	if !ok {
 		m.claimAt = time.Time{}
 		return nil
@@ -336,36 +345,36 @@
 	return []Effect{m.claiming}
 }
 
-func (m *Machine) onClaimed(e ClaimDone) []Effect {
+func (m *Machine) onClaimDone(e ClaimDone) []Effect {
 	if e.Err != nil {
-		return []Effect{ReadDirectory{}} // another has taken it, or this instance may have
+		return []Effect{ReadDirectory{}} // another instance has the slot, or this one has and the answer was lost
 	}
-	m.dir.take(m.claiming.Key, Relay{StartID: m.cfg.StartID, DataCentre: m.cfg.DataCentre})
-	return m.serve(e.At)
+	m.dir.put(m.claiming.Key, Relay{StartID: m.cfg.StartID, DataCentre: m.cfg.DataCentre})
+	return m.becomeRelay(e.At)
 }
 
-// serve makes this instance the relay that has the slot claimed.
-func (m *Machine) serve(now time.Time) []Effect {
-	m.mode, m.known, m.claimAt, m.lookAt, m.search = serving, true, time.Time{}, now.Add(checkPause), nil
-	return []Effect{CloseConnections{}, StartRelay{Key: m.claiming.Key}, SetSource{Source{Kind: AsRelay}, "a relay is wanted"}}
+// becomeRelay makes this instance the relay in the claimed slot.
+func (m *Machine) becomeRelay(now time.Time) []Effect {
+	m.mode, m.hasVersions, m.claimAt, m.nextCheckAt, m.search = relaying, true, time.Time{}, now.Add(checkPeriod), nil
+	return []Effect{CloseConnections{}, StartRelay{Key: m.claiming.Key}, SetSource{Source{Kind: AsRelay}, "the data centre needs a relay"}}
 }
 
-// holds reports whether this instance has the slot with a key.
-func (m *Machine) holds(key string) bool {
-	r, ok := m.dir.of(key)
+// holdsSlot reports whether this instance has the slot with the given key.
+func (m *Machine) holdsSlot(key string) bool {
+	r, ok := m.dir.get(key)
 	return ok && r.StartID == m.cfg.StartID
 }
 
-// minPause is the least time between two looks for a relay.
-const minPause = 50 * time.Millisecond
+// minSearchPause is the least time between two searches for a relay.
+const minSearchPause = 50 * time.Millisecond
 
-// condition returns how a relay was found.
-func (m *Machine) condition(r Relay, now time.Time) condition {
+// stateOf returns the state of a relay as far as this instance knows.
+func (m *Machine) stateOf(r Relay, now time.Time) relayState {
 	if r.StartID == m.cfg.StartID {
-		if m.mode != serving {
-			return gone // the answer to its claim was lost
+		if m.mode != relaying {
+			return gone // the claim succeeded, but its answer was lost
 		}
-		return useful
+		return usable
 	}
 	if a := m.avoided[r.Address]; now.Before(a.until) {
 		return a.found
@@ -373,24 +382,24 @@
 	if live, known := m.cfg.Live(r.StartID); known && !live {
 		return gone
 	}
-	return useful
+	return usable
 }
 
-// avoid has the relay at address not tried for a while, as it was found to be full or
-// gone. One that has said itself that it is full is not gone.
-func (m *Machine) avoid(address string, found condition, now time.Time) {
+// avoid leaves the relay at address out of searches for avoidPeriod, as it was found full
+// or gone. A relay that has reported itself full is not marked gone within that time.
+func (m *Machine) avoid(address string, found relayState, now time.Time) {
 	if a := m.avoided[address]; found == gone && a.found == full && now.Before(a.until) {
 		return
 	}
-	m.avoided[address] = avoidance{until: now.Add(avoidTime), found: found}
+	m.avoided[address] = avoidance{until: now.Add(avoidPeriod), found: found}
 }
 
-// candidates returns the relays to try, in order: those of the own data centre, and after
-// them all others if these are wanted.
-func (m *Machine) candidates(now time.Time, others bool) []Relay {
+// candidates returns the relays to connect to, in order: those of this data centre,
+// followed by all others if remote is set.
+func (m *Machine) candidates(now time.Time, remote bool) []Relay {
 	var out []Relay
 	for _, r := range m.dir.nearest(m.cfg.DataCentre, m.cfg.StartID, m.cfg.Rand) {
-		if now.Before(m.avoided[r.Address].until) || !others && r.DataCentre != m.cfg.DataCentre {
+		if now.Before(m.avoided[r.Address].until) || !remote && r.DataCentre != m.cfg.DataCentre {
 			continue
 		}
 		out = append(out, r)
@@ -398,7 +407,7 @@
 	return out
 }
 
-func (m *Machine) onOpened(e WatchOpened) []Effect {
+func (m *Machine) onWatchOpened(e WatchOpened) []Effect {
 	if m.mode != opening {
 		return nil
 	}
@@ -408,42 +417,42 @@
 			found = full
 		}
 		m.avoid(m.relay.Address, found, e.At)
-		m.mode = seeking
-		return m.find(e.At)
+		m.mode = searching
+		return m.searchAll(e.At)
 	}
-	m.mode, m.known, m.lostAt, m.lookAt = watching, true, time.Time{}, e.At.Add(checkPause)
-	return []Effect{SetSource{Source{Kind: FromRelay, Relay: m.relay.Address}, m.why}}
+	m.mode, m.hasVersions, m.storeLostAt, m.nextCheckAt = watching, true, time.Time{}, e.At.Add(checkPeriod)
+	return []Effect{SetSource{Source{Kind: FromRelay, Relay: m.relay.Address}, m.reason}}
 }
 
-func (m *Machine) onHeard(e RelayStatus) []Effect {
+func (m *Machine) onRelayStatus(e RelayStatus) []Effect {
 	if m.mode != watching {
 		return nil
 	}
 	switch {
 	case e.Leaving:
 		m.avoid(m.relay.Address, gone, e.At)
-		return m.seek(e.At, "the relay is about to stop")
+		return m.restartSearch(e.At, "the relay is about to stop")
 	case !e.StoreUnavailable:
-		m.lostAt = time.Time{}
-	case m.lostAt.IsZero():
-		m.lostAt = e.At
+		m.storeLostAt = time.Time{}
+	case m.storeLostAt.IsZero():
+		m.storeLostAt = e.At
 	}
 	return nil
 }
 
-// check looks, while a relay is watched, whether this instance is to be one itself, or
-// whether another is better.
+// check decides, while a relay is watched, whether this instance should become a relay
+// itself or search for a better one.
 func (m *Machine) check(now time.Time) []Effect {
-	m.lookAt = now.Add(checkPause)
+	m.nextCheckAt = now.Add(checkPeriod)
 	if effs := m.claim(now); effs != nil {
 		return effs
 	}
-	longLost := !m.lostAt.IsZero() && now.Sub(m.lostAt) > lostPatience
-	far := m.relay.DataCentre != m.cfg.DataCentre
-	if !longLost && !far {
+	longWithoutStore := !m.storeLostAt.IsZero() && now.Sub(m.storeLostAt) > unavailableGrace
+	remote := m.relay.DataCentre != m.cfg.DataCentre
+	if !longWithoutStore && !remote {
 		return nil
 	}
-	others := m.candidates(now, longLost)
+	others := m.candidates(now, longWithoutStore)
 	for i, r := range others {
 		if r.Address == m.relay.Address {
 			others = append(others[:i:i], others[i+1:]...)
@@ -453,5 +462,5 @@
 	if len(others) == 0 {
 		return nil
 	}
-	return m.race(now, forBetter, others, raceTime)
+	return m.startSearch(now, forBetter, others, searchTimeout)
 }
--- a/pkg/watch/relay.go
+++ b/pkg/watch/relay.go
@@ -11,26 +11,26 @@
 	"github.com/zinnialadder/zinnialadder/pkg/watchcache"
 )
 
-// relay is what an instance keeps for those that follow tables through it.
+// relay is the state of an instance that acts as a relay.
 type relay struct {
-	key     string // of its slot
+	key     string // key of its slot's row
 	caches  map[string]*watchcache.Cache
-	news    signal // there is something to tell
-	urgent  signal // and it is not to wait
+	updates signal // a cache has changed
+	urgent  signal // the cache of an urgent table has changed
 	leaving atomic.Bool
 
 	mu       sync.Mutex
-	room     int // for more watchers
+	capacity int // maximum number of watchers
 	watchers int
 }
 
-// signal tells those who wait of something.
+// signal wakes all goroutines that wait for it.
 type signal struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
-// wait returns a channel that is closed at the next ring.
+// wait returns a channel that is closed at the next broadcast.
 func (s *signal) wait() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 	return s.ch
 }
 
-func (s *signal) ring() {
+func (s *signal) broadcast() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ch != nil {
@@ -49,15 +49,15 @@
 	}
 }
 
-// newRelay returns the relay that has a slot, which knows nothing yet.
+// newRelay returns the relay in the slot with the given key. Its caches are empty.
 func newRelay(cfg Config, key string) *relay {
-	r := &relay{key: key, caches: map[string]*watchcache.Cache{}, room: max(1, int(watchersPerCore*cfg.Cores))}
+	r := &relay{key: key, caches: map[string]*watchcache.Cache{}, capacity: max(1, int(watchersPerCore*cfg.Cores))}
 	for _, t := range append([]TableConfig{relaysTable()}, cfg.Tables...) {
-		changed := r.news.ring
+		changed := r.updates.broadcast
 		if t.Urgent {
 			changed = func() {
-				r.news.ring()
-				r.urgent.ring()
+				r.updates.broadcast()
+				r.urgent.broadcast()
 			}
 		}
 		r.caches[t.Name] = watchcache.New(watchcache.Config{Digest: t.Digest, OnChange: changed})
@@ -65,13 +65,13 @@
 	return r
 }
 
-// relaysTable is how a relay follows the relays' table.
+// relaysTable returns the configuration by which a relay follows Table.
 func relaysTable() TableConfig {
 	return TableConfig{Name: Table, Prefixes: []string{Prefix()}, Urgent: true}
 }
 
-// relaying returns the relay that this instance is, nil if it is none.
-func (f *Follower) relaying() *relay {
+// currentRelay returns the relay state of this instance, nil if it is no relay.
+func (f *Follower) currentRelay() *relay {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.relay
@@ -83,8 +83,9 @@
 	f.relay = r
 }
 
-// take keeps what was read of a table for watchers.
-func (r *relay) take(u feed.Update, tables []TableConfig) {
+// apply applies an update of a table to its cache. Of a derived table, it records only
+// whether the table could be read.
+func (r *relay) apply(u feed.Update, tables []TableConfig) {
 	for _, t := range tables {
 		if t.Name == u.Table && t.Derived {
 			r.caches[u.Table].Touch(u)
@@ -94,10 +95,10 @@
 	r.caches[u.Table].Apply(u)
 }
 
-// SetDerived tells what a relay is to pass on of a derived table, all of it. The
-// versions of the rows are not looked at.
+// SetDerived replaces the rows that a relay passes on for a derived table. The versions
+// of the rows are ignored. It does nothing if this instance is no relay.
 func (f *Follower) SetDerived(table string, rows []platform.Row, at time.Time) {
-	r := f.relaying()
+	r := f.currentRelay()
 	if r == nil {
 		return
 	}
@@ -105,11 +106,11 @@
 }
 
 // IsRelay reports whether this instance is a relay.
-func (f *Follower) IsRelay() bool { return f.relaying() != nil }
+func (f *Follower) IsRelay() bool { return f.currentRelay() != nil }
 
 // Watchers returns how many instances follow tables through this one.
 func (f *Follower) Watchers() int {
-	r := f.relaying()
+	r := f.currentRelay()
 	if r == nil {
 		return 0
 	}
@@ -118,25 +119,26 @@
 	return r.watchers
 }
 
-// enter lets a watcher in if there is room.
-func (r *relay) enter() bool {
+// addWatcher admits a watcher, and reports false if there is no room.
+func (r *relay) addWatcher() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.watchers >= r.room {
+	if r.watchers >= r.capacity {
 		return false
 	}
 	r.watchers++
 	return true
 }
 
-func (r *relay) leave() {
+func (r *relay) removeWatcher() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.watchers--
 }
 
-// DisableRelaying has this instance be no relay any more, and never again: those that follow
-// tables through it are told to look for another. It may be called once, while Run runs.
+// DisableRelaying makes this instance stop acting as a relay, for good: its watchers are
+// told to look for another relay, and the row of its slot is deleted. It returns the
+// error of the deletion. It may be called once, while Run runs.
 func (f *Follower) DisableRelaying(ctx context.Context) error {
 	f.post(ctx, RelayingDisabled{time.Now()})
 	f.mu.Lock()
@@ -146,15 +148,15 @@
 		return nil
 	}
 	r.leaving.Store(true)
-	r.news.ring()
-	r.urgent.ring()
+	r.updates.broadcast()
+	r.urgent.broadcast()
 	f.mu.Lock()
-	at, ok := f.dir.of(r.key)
+	at, ok := f.dir.get(r.key)
 	f.mu.Unlock()
 	if !ok || at.StartID != f.cfg.StartID {
-		return nil // its slot is another's, or not known to be its own yet
+		return nil // its slot belongs to another instance, or the claim is not confirmed yet
 	}
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	_, err := f.cfg.Store.Commit(ctx, platform.Delete(r.key, at.version))
 	return err
--- a/pkg/watch/search.go
+++ b/pkg/watch/search.go
@@ -2,69 +2,69 @@
 
 import "time"
 
-// purpose is what a search is for.
+// purpose is the purpose of a search.
 type purpose int
 
 const (
-	forAny    purpose = iota // nothing is followed: a relay that has lost the store will do
-	forBetter                // what is followed goes on meanwhile
+	forAny    purpose = iota // there is no source: a relay that cannot reach the store will do
+	forBetter                // there is a source, which stays in use during the search
 )
 
-// search is a trial of relays, one after the other, without waiting for the end of one
-// before the next is begun. The first that serves is taken, with a watch of the relays'
-// table alone: whole tables are asked of one relay only. If all that answer have lost the
-// store, it may be one of these.
+// search connects to relays one after the other, without waiting for the outcome of one
+// before the next is started. The first that has the store is used. Each connection
+// watches Table only: whole tables are requested from a single relay. If no relay that
+// answers can reach the store, the search may end with one of these.
 type search struct {
-	purpose purpose
-	left    []Relay          // not tried yet
-	under   map[string]trial // under way, by address
-	lost    []Relay          // have answered, and lost the store
-	stepAt  time.Time
-	endsAt  time.Time
+	purpose      purpose
+	pending      []Relay                   // not connected to yet
+	inFlight     map[string]pendingConnect // by address
+	withoutStore []Relay                   // answered, but cannot reach the store
+	stepAt       time.Time
+	endsAt       time.Time
 }
 
-// trial is a relay that is being tried.
-type trial struct {
+// pendingConnect is a relay whose Connect has not ended.
+type pendingConnect struct {
 	Relay
-	begunAt time.Time
+	startedAt time.Time
 }
 
-// enoughLost is how many relays that have lost the store are asked until it is taken for
-// lost for all: were each asked by each instance, an outage would cost more connections
-// than all else.
-const enoughLost = 3
+// maxWithoutStore is how many relays must answer that they cannot reach the store for a
+// search to assume that none can. If each instance asked every relay, an outage of the
+// store would cause more connections than all other traffic.
+const maxWithoutStore = 3
 
-// next returns when the next relay is tried, or the search ends.
+// next returns when the next relay is to be connected to, or the search ends.
 func (s *search) next() time.Time {
-	if len(s.left) > 0 && s.stepAt.Before(s.endsAt) {
+	if len(s.pending) > 0 && s.stepAt.Before(s.endsAt) {
 		return s.stepAt
 	}
 	return s.endsAt
 }
 
-// race begins a search.
-func (m *Machine) race(now time.Time, p purpose, relays []Relay, limit time.Duration) []Effect {
-	m.search = &search{purpose: p, left: relays, under: map[string]trial{}, endsAt: now.Add(limit)}
+// startSearch starts a search among relays that ends after limit.
+func (m *Machine) startSearch(now time.Time, p purpose, relays []Relay, limit time.Duration) []Effect {
+	m.search = &search{purpose: p, pending: relays, inFlight: map[string]pendingConnect{}, endsAt: now.Add(limit)}
 	if len(relays) == 0 {
-		return m.searched(now)
+		return m.endSearch(now)
 	}
-	return m.tryNext(now)
+	return m.connectNext(now)
 }
 
-// tryNext tries the next relay, if there is one.
-func (m *Machine) tryNext(now time.Time) []Effect {
+// connectNext connects to the next relay, if there is one.
+func (m *Machine) connectNext(now time.Time) []Effect {
 	s := m.search
-	s.stepAt = now.Add(raceStep)
-	if len(s.left) == 0 {
+	s.stepAt = now.Add(connectStep)
+	if len(s.pending) == 0 {
 		return nil
 	}
-	r := s.left[0]
-	s.left = s.left[1:]
-	s.under[r.Address] = trial{r, now}
+	r := s.pending[0]
+	s.pending = s.pending[1:]
+	s.inFlight[r.Address] = pendingConnect{r, now}
 	return []Effect{Connect{r}}
 }
 
-func (m *Machine) onTried(e ConnectDone) []Effect {
+func (m *Machine) onConnectDone(e ConnectDone) []Effect {
 	switch e.Outcome {
 	case RelayFull:
 		m.avoid(e.Address, full, e.At)
@@ -75,72 +75,72 @@
 	if s == nil {
 		return nil
 	}
-	t, ok := s.under[e.Address]
+	t, ok := s.inFlight[e.Address]
 	if !ok {
 		return nil
 	}
-	delete(s.under, e.Address)
+	delete(s.inFlight, e.Address)
 	switch e.Outcome {
 	case RelayReady:
-		return m.found(t.Relay, e.At)
+		return m.useRelay(t.Relay, e.At)
 	case RelayWithoutStore:
-		s.lost = append(s.lost, t.Relay)
+		s.withoutStore = append(s.withoutStore, t.Relay)
 	}
-	if len(s.lost) >= enoughLost || len(s.left) == 0 && len(s.under) == 0 {
-		return m.searched(e.At)
+	if len(s.withoutStore) >= maxWithoutStore || len(s.pending) == 0 && len(s.inFlight) == 0 {
+		return m.endSearch(e.At)
 	}
-	return m.tryNext(e.At)
+	return m.connectNext(e.At)
 }
 
-// found takes a relay that serves.
-func (m *Machine) found(r Relay, now time.Time) []Effect {
+// useRelay ends the search with a relay that has the store.
+func (m *Machine) useRelay(r Relay, now time.Time) []Effect {
 	if m.search.purpose == forBetter {
-		m.why = m.betterWhy()
-		if m.mode == watching && !m.lostAt.IsZero() {
+		m.reason = m.improvementReason()
+		if m.mode == watching && !m.storeLostAt.IsZero() {
 			m.avoid(m.relay.Address, full, now)
 		}
 	}
 	m.search = nil
-	return m.open(r)
+	return m.openRelay(r)
 }
 
-// betterWhy tells why what is followed is left for a relay.
-func (m *Machine) betterWhy() string {
+// improvementReason returns why the current source is given up for a relay.
+func (m *Machine) improvementReason() string {
 	switch {
-	case m.mode == direct:
+	case m.mode == readingStore:
 		return "there are relays"
-	case !m.lostAt.IsZero():
-		return "the relay has lost the store, another has not"
+	case !m.storeLostAt.IsZero():
+		return "the relay cannot reach the store, another can"
 	}
 	return "there is a relay in the data centre"
 }
 
-func (m *Machine) open(r Relay) []Effect {
-	m.mode, m.relay, m.lookAt = opening, r, time.Time{}
+func (m *Machine) openRelay(r Relay) []Effect {
+	m.mode, m.relay, m.nextCheckAt = opening, r, time.Time{}
 	return []Effect{CloseConnections{Keep: r.Address}, OpenWatch{r}}
 }
 
-// searched ends a search in which no relay was found that serves.
-func (m *Machine) searched(now time.Time) []Effect {
+// endSearch ends a search in which no relay was found that has the store.
+func (m *Machine) endSearch(now time.Time) []Effect {
 	s := m.search
 	m.search = nil
-	for _, t := range s.under {
-		if now.Sub(t.begunAt) >= silence {
+	for _, t := range s.inFlight {
+		if now.Sub(t.startedAt) >= silenceTimeout {
 			m.avoid(t.Address, gone, now)
 		}
 	}
-	if s.purpose == forAny && len(s.lost) > 0 {
-		return m.open(s.lost[0])
+	if s.purpose == forAny && len(s.withoutStore) > 0 {
+		return m.openRelay(s.withoutStore[0])
 	}
 	effs := []Effect{CloseConnections{}}
 	if s.purpose == forAny {
-		return append(effs, m.notFound(now)...)
+		return append(effs, m.noRelayFound(now)...)
 	}
 	switch m.mode {
-	case direct:
-		m.lookAgain(now)
+	case readingStore:
+		m.scheduleSearch(now)
 	case watching:
-		m.lookAt = now.Add(checkPause)
+		m.nextCheckAt = now.Add(checkPeriod)
 	}
 	return effs
 }
--- a/pkg/watch/serve.go
+++ b/pkg/watch/serve.go
@@ -10,37 +10,37 @@
 	"github.com/zinnialadder/zinnialadder/pkg/peer"
 )
 
-// errNotARelay tells why a watcher is told nothing.
-var errNotARelay = errors.New("watch: this instance is no relay")
+// errNotARelay ends a watch at an instance that is no relay.
+var errNotARelay = errors.New("watch: this instance is not a relay")
 
 // Watch implements peer.WatchServer.
 func (f *Follower) Watch(ctx context.Context, tables []peer.WatchedTable, send func(peer.WatchUpdate) error) error {
-	r := f.relaying()
+	r := f.currentRelay()
 	switch {
 	case r == nil:
 		return errNotARelay
 	case r.leaving.Load():
 		return send(peer.WatchUpdate{Leaving: true})
-	case !r.enter():
+	case !r.addWatcher():
 		return send(peer.WatchUpdate{Full: true})
 	}
-	defer r.leave()
+	defer r.removeWatcher()
 	return r.serve(ctx, tables, send)
 }
 
-// serve tells a watcher what changes until ctx ends or the watcher is gone.
+// serve sends changes of the tables to a watcher until ctx ends or sending fails.
 func (r *relay) serve(ctx context.Context, tables []peer.WatchedTable, send func(peer.WatchUpdate) error) error {
-	s := served{relay: r, after: map[string]uint64{}, lost: map[string]bool{}}
+	s := watcherState{relay: r, after: map[string]uint64{}, unavailable: map[string]bool{}}
 	for _, t := range tables {
 		s.after[t.Table] = t.After
 	}
-	if !r.awaitRead(ctx, tables) || !r.awaitVersions(ctx, tables) {
+	if !r.awaitLoaded(ctx, tables) || !r.awaitVersions(ctx, tables) {
 		return ctx.Err()
 	}
-	for signs := 0; ctx.Err() == nil; signs++ {
-		news, urgent := r.news.wait(), r.urgent.wait()
+	for messages := 0; ctx.Err() == nil; messages++ {
+		updates, urgent := r.updates.wait(), r.urgent.wait()
 		leaving := r.leaving.Load()
-		n := peer.WatchUpdate{Leaving: leaving, Tables: s.since(time.Now(), signs%versionSigns == 0)}
+		n := peer.WatchUpdate{Leaving: leaving, Tables: s.since(time.Now(), messages%versionInterval == 0)}
 		if err := send(n); err != nil {
 			return err
 		}
@@ -51,38 +51,39 @@
 			continue
 		}
 		sentAt := time.Now()
-		if s.await(ctx, news, lifeSign) {
-			s.await(ctx, urgent, time.Until(sentAt.Add(newsPause)))
+		if s.await(ctx, updates, heartbeatInterval) {
+			s.await(ctx, urgent, time.Until(sentAt.Add(updatePause)))
 		}
 	}
 	return ctx.Err()
 }
 
-// awaitRead waits until each of the tables has been read, and reports whether it has.
-func (r *relay) awaitRead(ctx context.Context, tables []peer.WatchedTable) bool {
+// awaitLoaded waits until each of the tables has been read once. It reports false if ctx
+// ended before.
+func (r *relay) awaitLoaded(ctx context.Context, tables []peer.WatchedTable) bool {
 	for {
-		news := r.news.wait()
-		read := true
+		updates := r.updates.wait()
+		loaded := true
 		for _, t := range tables {
 			c := r.caches[t.Table]
-			read = read && (c == nil || c.State().Loaded)
+			loaded = loaded && (c == nil || c.State().Loaded)
 		}
-		if read {
+		if loaded {
 			return true
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-news:
+		case <-updates:
 		}
 	}
 }
 
-// awaitVersions waits until each of the tables has been read up to where the watcher
-// knows it, for a time at the most: it may have read it just now. It reports false if ctx
-// has ended.
+// awaitVersions waits up to catchUpTimeout for each table to reach the version that the
+// watcher knows, which the watcher may have read only just now. It reports false if ctx
+// ended.
 func (r *relay) awaitVersions(ctx context.Context, tables []peer.WatchedTable) bool {
-	for until := time.Now().Add(versionsTime); time.Now().Before(until); {
+	for until := time.Now().Add(catchUpTimeout); time.Now().Before(until); {
 		behind := func(t peer.WatchedTable) bool {
 			c := r.caches[t.Table]
 			return c != nil && c.State().Version < t.After
@@ -90,49 +91,49 @@
 		if !slices.ContainsFunc(tables, behind) {
 			return true
 		}
-		if !clock.Sleep(ctx, versionsPause) {
+		if !clock.Sleep(ctx, catchUpPoll) {
 			return false
 		}
 	}
 	return true
 }
 
-// served is one watcher's state at its relay.
-type served struct {
-	relay *relay
-	after map[string]uint64 // versions up to which the watcher knows the tables
-	lost  map[string]bool   // tables of which it was told that the store is lost
-	begun bool
-	more  bool // there is more to tell
+// watcherState is what a relay knows of one watcher.
+type watcherState struct {
+	relay       *relay
+	after       map[string]uint64 // by table: the version up to which the watcher knows it
+	unavailable map[string]bool   // tables last sent to it as unavailable
+	started     bool
+	more        bool // a cache has more changes to send
 }
 
-// since returns what is to be told at now: tables that have changed, all of them in the
-// first answer and if versions are to be told.
-func (s *served) since(now time.Time, versions bool) []peer.TableUpdate {
+// since returns the updates to send at now: of tables that have changed, and of all
+// tables in the first message and if versions is set.
+func (s *watcherState) since(now time.Time, allVersions bool) []peer.TableUpdate {
 	var out []peer.TableUpdate
 	s.more = false
 	for table, after := range s.after {
 		c := s.relay.caches[table]
-		if c == nil { // a table of another release
-			if !s.begun {
+		if c == nil { // a table that only another release has
+			if !s.started {
 				out = append(out, peer.TableUpdate{Table: table, Unavailable: true})
 			}
 			continue
 		}
 		d := c.Since(after)
-		lost := d.Unavailable || now.Sub(d.ReadAt) > lostAfter
-		if s.begun && !versions && len(d.Changes) == 0 && !d.Reset && lost == s.lost[table] {
+		unavailable := d.Unavailable || now.Sub(d.ReadAt) > unavailableAfter
+		if s.started && !allVersions && len(d.Changes) == 0 && !d.Reset && unavailable == s.unavailable[table] {
 			continue
 		}
-		s.after[table], s.lost[table], s.more = d.Version, lost, s.more || d.More
-		out = append(out, peer.TableUpdate{Table: table, Reset: d.Reset, Changes: d.Changes, Version: d.Version, Unavailable: lost})
+		s.after[table], s.unavailable[table], s.more = d.Version, unavailable, s.more || d.More
+		out = append(out, peer.TableUpdate{Table: table, Reset: d.Reset, Changes: d.Changes, Version: d.Version, Unavailable: unavailable})
 	}
-	s.begun = true
+	s.started = true
 	return out
 }
 
-// await waits until ch is closed, for a time at the most, and reports whether it was.
-func (s *served) await(ctx context.Context, ch <-chan struct{}, limit time.Duration) bool {
+// await waits until ch is closed, and reports false if limit passed or ctx ended before.
+func (s *watcherState) await(ctx context.Context, ch <-chan struct{}, limit time.Duration) bool {
 	t := time.NewTimer(limit)
 	defer t.Stop()
 	select {
--- a/pkg/watch/watch_test.go
+++ b/pkg/watch/watch_test.go
@@ -18,16 +18,16 @@
 	"github.com/zinnialadder/zinnialadder/pkg/watch"
 )
 
-// store is a store in memory that counts the rows it has told.
+// store is an in-memory store that counts the rows it returns.
 type store struct {
-	platform.Store // what is not used
+	platform.Store // methods that are not used
 
-	mu      sync.Mutex
-	rows    map[string]platform.Row
-	history []platform.Change
-	version uint64
-	told    int
-	cut     map[string]bool // instances that do not reach it
+	mu          sync.Mutex
+	rows        map[string]platform.Row
+	history     []platform.Change
+	version     uint64
+	returned    int
+	unreachable map[string]bool // by name: instances that cannot reach the store
 }
 
 func (s *store) set(f func()) {
@@ -45,43 +45,43 @@
 	})
 }
 
-// reached is the store as an instance reaches it.
-type reached struct {
+// instanceStore is the store as one instance reaches it.
+type instanceStore struct {
 	*store
-	by string
+	instance string
 }
 
-var errAway = fmt.Errorf("%w: away", platform.ErrUnavailable)
+var errUnavailable = fmt.Errorf("%w: unreachable", platform.ErrUnavailable)
 
-func (s reached) ScanFrom(_ context.Context, prefix, from string, limit int) (platform.Page, error) {
+func (s instanceStore) ScanFrom(_ context.Context, prefix, from string, limit int) (platform.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cut[s.by] {
-		return platform.Page{}, errAway
+	if s.unreachable[s.instance] {
+		return platform.Page{}, errUnavailable
 	}
 	p := platform.Page{Version: s.version}
 	for _, r := range s.rows {
 		if strings.HasPrefix(r.Key, prefix) {
 			p.Rows = append(p.Rows, r)
-			s.told++
+			s.returned++
 		}
 	}
 	return p, nil
 }
 
-func (s reached) Changes(ctx context.Context, table string, after uint64, wait time.Duration) (platform.Changes, error) {
+func (s instanceStore) Changes(ctx context.Context, table string, after uint64, wait time.Duration) (platform.Changes, error) {
 	for deadline := time.Now().Add(wait); ; time.Sleep(2 * time.Millisecond) {
 		s.mu.Lock()
-		away, ch := s.cut[s.by], platform.Changes{Version: s.version}
+		unavailable, ch := s.unreachable[s.instance], platform.Changes{Version: s.version}
 		for _, h := range s.history {
 			if h.Version > after && strings.HasPrefix(h.Key, table+"/") {
 				ch.Rows = append(ch.Rows, h)
 			}
 		}
-		s.told += len(ch.Rows)
+		s.returned += len(ch.Rows)
 		s.mu.Unlock()
-		if away {
-			return platform.Changes{}, errAway
+		if unavailable {
+			return platform.Changes{}, errUnavailable
 		}
 		if len(ch.Rows) > 0 || time.Now().After(deadline) || ctx.Err() != nil {
 			return ch, ctx.Err()
@@ -89,12 +89,12 @@
 	}
 }
 
-func (s reached) Commit(_ context.Context, ops ...platform.Op) ([]platform.Row, error) {
+func (s instanceStore) Commit(_ context.Context, ops ...platform.Op) ([]platform.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	op := ops[0]
-	if s.cut[s.by] {
-		return nil, errAway
+	if s.unreachable[s.instance] {
+		return nil, errUnavailable
 	}
 	if cur := s.rows[op.Key]; cur.Version != op.ExpectVersion {
 		return nil, &platform.ConflictError{Conflict: platform.Conflict{Key: op.Key, Current: cur}}
@@ -110,29 +110,29 @@
 	return []platform.Row{r}, nil
 }
 
-// site is instances that follow a table of one store.
+// site is a group of instances that follow a table of one store.
 type site struct {
 	t     *testing.T
 	store *store
 
 	mu        sync.Mutex
 	instances map[string]*instance // by address
-	silent    map[string]bool      // addresses of which nothing is heard
+	silent    map[string]bool      // by address: instances that are suspended, as others see them
 }
 
 type instance struct {
 	*watch.Follower
 	name string
-	end  func()
+	stop func()
 	wait func()
 
-	mu    sync.Mutex
-	known map[string]string
-	away  bool
+	mu          sync.Mutex
+	known       map[string]string
+	unavailable bool
 }
 
 func newSite(t *testing.T) *site {
-	s := &site{t: t, store: &store{rows: map[string]platform.Row{}, cut: map[string]bool{}}, instances: map[string]*instance{}, silent: map[string]bool{}}
+	s := &site{t: t, store: &store{rows: map[string]platform.Row{}, unreachable: map[string]bool{}}, instances: map[string]*instance{}, silent: map[string]bool{}}
 	for i := range 10 {
 		s.store.put(fmt.Sprintf("t//%d", i), "old")
 	}
@@ -142,12 +142,12 @@
 func (s *site) start(name, dataCentre string, cores float64) *instance {
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
-	in := &instance{name: name, end: cancel, wait: func() { _ = g.Wait() }, known: map[string]string{}}
-	in.Follower = watch.New(watch.Config{StartID: name + "#1", DataCentre: dataCentre, Address: name, Cores: cores, Store: reached{s.store, name}, Dial: s.dial,
+	in := &instance{name: name, stop: cancel, wait: func() { _ = g.Wait() }, known: map[string]string{}}
+	in.Follower = watch.New(watch.Config{StartID: name + "#1", DataCentre: dataCentre, Address: name, Cores: cores, Store: instanceStore{s.store, name}, Dial: s.dial,
 		Tables:    []watch.TableConfig{{Name: "t", Prefixes: []string{"t//"}, Wait: 50 * time.Millisecond}},
 		UseRelays: func() bool { return true },
-		Live:      func(start string) (bool, bool) { return s.isThere(strings.TrimSuffix(start, "#1")), true },
-		OnUpdate:  func(_ context.Context, u feed.Update) { in.learn(u) },
+		Live:      func(start string) (bool, bool) { return s.isRunning(strings.TrimSuffix(start, "#1")), true },
+		OnUpdate:  func(_ context.Context, u feed.Update) { in.apply(u) },
 		Go:        func(f func() error) { g.Go(f) },
 		Rand:      rand.Float64})
 	s.mu.Lock()
@@ -162,10 +162,10 @@
 	s.mu.Lock()
 	delete(s.instances, in.name)
 	s.mu.Unlock()
-	in.end()
+	in.stop()
 }
 
-func (s *site) isThere(name string) bool {
+func (s *site) isRunning(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.instances[name] != nil
@@ -177,17 +177,17 @@
 	return s.silent[name]
 }
 
-func (s *site) silence(name string, silent bool) {
+func (s *site) setSilent(name string, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent[name] = silent
 }
 
-// learn takes what an instance is told. Nothing older may come after something newer.
-func (in *instance) learn(u feed.Update) {
+// apply applies an update to the rows that the instance knows.
+func (in *instance) apply(u feed.Update) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.away = u.Err != nil; in.away {
+	if in.unavailable = u.Err != nil; in.unavailable {
 		return
 	}
 	if u.Reset {
@@ -198,19 +198,19 @@
 	}
 }
 
-func (in *instance) knows(key string) string {
+func (in *instance) knownValue(key string) string {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.known[key]
 }
 
-func (in *instance) isAway() bool {
+func (in *instance) isUnavailable() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.away
+	return in.unavailable
 }
 
-// link is a link to an instance; its watches end with it.
+// link is a link to an instance. Its watches end with it.
 type link struct {
 	site   *site
 	to     *instance
@@ -240,15 +240,15 @@
 
 func (l *link) Watch(tables []peer.WatchedTable) (watch.Stream, error) {
 	ctx, cancel := context.WithCancel(l.ctx)
-	w := &session{link: l, cancel: cancel, news: make(chan peer.WatchUpdate, 100)}
-	go func() { // ends with the link
-		defer close(w.news)
+	w := &stream{link: l, cancel: cancel, updates: make(chan peer.WatchUpdate, 100)}
+	go func() { // ends when the watch or the link is closed
+		defer close(w.updates)
 		_ = l.to.Watch(ctx, tables, func(n peer.WatchUpdate) error {
-			if !l.site.isThere(l.to.name) {
+			if !l.site.isRunning(l.to.name) {
 				return errRefused
 			}
 			if !l.site.isSilent(l.to.name) {
-				w.news <- n
+				w.updates <- n
 			}
 			return ctx.Err()
 		})
@@ -256,15 +256,15 @@
 	return w, nil
 }
 
-type session struct {
-	link   *link
-	cancel context.CancelFunc
-	news   chan peer.WatchUpdate
+type stream struct {
+	link    *link
+	cancel  context.CancelFunc
+	updates chan peer.WatchUpdate
 }
 
-func (s *session) Next(within time.Duration) (peer.WatchUpdate, error) {
+func (s *stream) Next(within time.Duration) (peer.WatchUpdate, error) {
 	select {
-	case n, ok := <-s.news:
+	case n, ok := <-s.updates:
 		if !ok {
 			return peer.WatchUpdate{}, errors.New("ended")
 		}
@@ -276,9 +276,9 @@
 	}
 }
 
-func (s *session) Close() { s.cancel() }
+func (s *stream) Close() { s.cancel() }
 
-func (s *site) by(kind watch.Kind) []*instance {
+func (s *site) withSource(kind watch.Kind) []*instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*instance
@@ -292,76 +292,77 @@
 
 func (s *site) eventually(limit time.Duration, what string, ok func() bool) time.Duration {
 	s.t.Helper()
-	begun := time.Now()
+	start := time.Now()
 	for !ok() {
-		if time.Since(begun) > limit {
-			s.t.Fatalf("not within %v: %s", limit, what)
+		if time.Since(start) > limit {
+			s.t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
-// settled starts n instances of one data centre and waits until two relay for the others.
-func settled(t *testing.T, n int) *site {
+// newSettledSite starts n instances in one data centre and waits until two of them are
+// relays and the others watch these.
+func newSettledSite(t *testing.T, n int) *site {
 	s := newSite(t)
 	for i := range n {
 		s.start(fmt.Sprintf("n%d", i), "z1", 1)
 	}
 	s.eventually(8*time.Second, "two relays", func() bool {
-		return len(s.by(watch.AsRelay)) == 2 && len(s.by(watch.FromRelay)) == n-2
+		return len(s.withSource(watch.AsRelay)) == 2 && len(s.withSource(watch.FromRelay)) == n-2
 	})
 	return s
 }
 
-// all reports whether each instance knows the value of a key.
-func (s *site) all(key, value string) bool {
+// allKnow reports whether each instance knows the value of a key.
+func (s *site) allKnow(key, value string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, in := range s.instances {
-		if in.knows(key) != value {
+		if in.knownValue(key) != value {
 			return false
 		}
 	}
 	return true
 }
 
-// Large instances relay for small ones.
-func TestLargeInstancesRelay(t *testing.T) {
+// Only large instances become relays.
+func TestLargeInstancesBecomeRelays(t *testing.T) {
 	s := newSite(t)
 	for i := range 6 {
 		s.start(fmt.Sprintf("small%d", i), "z1", 0.19)
 		s.start(fmt.Sprintf("large%d", i), "z1", 0.8)
 	}
-	s.eventually(8*time.Second, "two relays", func() bool { return len(s.by(watch.AsRelay)) == 2 && len(s.by(watch.FromRelay)) == 10 })
-	for _, in := range s.by(watch.AsRelay) {
+	s.eventually(8*time.Second, "two relays", func() bool { return len(s.withSource(watch.AsRelay)) == 2 && len(s.withSource(watch.FromRelay)) == 10 })
+	for _, in := range s.withSource(watch.AsRelay) {
 		if !strings.HasPrefix(in.name, "large") {
-			t.Errorf("%s relays", in.name)
+			t.Errorf("relay %s, want large instances only", in.name)
 		}
 	}
 }
 
-// What the store tells grows with the relays and not with the instances.
-func TestStoreTellsRelaysOnly(t *testing.T) {
-	told := map[int]int{}
+// The number of rows that the store returns grows with the number of relays, not with the
+// number of instances.
+func TestStoreReadsGrowWithRelays(t *testing.T) {
+	returned := map[int]int{}
 	for _, n := range []int{8, 40} {
-		s := settled(t, n)
-		s.store.set(func() { s.store.told = 0 })
+		s := newSettledSite(t, n)
+		s.store.set(func() { s.store.returned = 0 })
 		for i := range 50 {
 			s.store.put(fmt.Sprintf("t//%d", i%10), fmt.Sprintf("new%d", i))
 			time.Sleep(2 * time.Millisecond)
 		}
-		s.eventually(time.Second, "the last change is known", func() bool { return s.all("t//9", "new49") })
-		s.store.set(func() { told[n] = s.store.told })
+		s.eventually(time.Second, "the last change is known", func() bool { return s.allKnow("t//9", "new49") })
+		s.store.set(func() { returned[n] = s.store.returned })
 	}
-	if told[40] > 2*told[8] {
-		t.Errorf("the store told %d rows among 8 instances, and %d among 40", told[8], told[40])
+	if returned[40] > 2*returned[8] {
+		t.Errorf("store returned %d rows with 8 instances and %d with 40, want at most twice as many", returned[8], returned[40])
 	}
 }
 
-// Instances of a data centre follow relays of their own, and those of another only while
-// theirs has none.
-func TestRelaysOfTheOwnDataCentre(t *testing.T) {
+// Once each data centre has relays, instances watch relays of their own data centre.
+func TestRelaysOfOwnDataCentre(t *testing.T) {
 	s := newSite(t)
 	in := map[string]string{}
 	for _, dc := range []string{"z1", "z2"} {
@@ -369,82 +370,82 @@
 			in[s.start(fmt.Sprintf("%s-n%d", dc, i), dc, 1).name] = dc
 		}
 	}
-	settled := func() bool {
-		for _, i := range s.by(watch.FromRelay) {
+	isSettled := func() bool {
+		for _, i := range s.withSource(watch.FromRelay) {
 			if in[i.Source().Relay] != in[i.name] {
 				return false
 			}
 		}
-		return len(s.by(watch.AsRelay)) == 4 && len(s.by(watch.FromRelay)) == 6
+		return len(s.withSource(watch.AsRelay)) == 4 && len(s.withSource(watch.FromRelay)) == 6
 	}
-	s.eventually(10*time.Second, "each data centre has its own", settled)
+	s.eventually(10*time.Second, "two relays in each data centre, watched from within", isSettled)
 }
 
-// A relay of which nothing is heard is left within a second, also where the other does
-// not answer either, and what changes meanwhile is known then.
-func TestSilentRelaysAreLeft(t *testing.T) {
+// Watchers leave a relay that falls silent and receive the missed changes from another
+// source: within 1.5 s, or within 3.5 s if the other relay is silent too.
+func TestWatchersLeaveSilentRelays(t *testing.T) {
 	for _, silent := range []int{1, 2} {
 		t.Run(fmt.Sprint(silent), func(t *testing.T) {
 			t.Parallel()
-			s := settled(t, 8)
+			s := newSettledSite(t, 8)
 			var gone []string
-			for _, in := range s.by(watch.AsRelay)[:silent] {
-				s.silence(in.name, true)
+			for _, in := range s.withSource(watch.AsRelay)[:silent] {
+				s.setSilent(in.name, true)
 				gone = append(gone, in.name)
 			}
 			s.store.put("t//3", "new")
 			limit := 1500 * time.Millisecond
 			if silent == 2 {
-				limit += 2 * time.Second // in which relays are looked for in vain
+				limit += 2 * time.Second // for the search for relays, which finds none
 			}
-			took := s.eventually(limit, "the change is known", func() bool { return s.all("t//3", "new") })
-			for _, in := range s.by(watch.FromRelay) {
+			took := s.eventually(limit, "the change is known", func() bool { return s.allKnow("t//3", "new") })
+			for _, in := range s.withSource(watch.FromRelay) {
 				for _, name := range gone {
 					if in.Source().Relay == name && !s.isSilent(in.name) {
-						t.Errorf("%s follows %s", in.name, name)
+						t.Errorf("%s still watches the silent relay %s", in.name, name)
 					}
 				}
 			}
-			t.Logf("known after %v", took)
+			t.Logf("change known after %v", took)
 		})
 	}
 }
 
-// A relay that was suspended knows less than those who come to it, and does not undo
-// what they know.
-func TestOldRelayUndoesNothing(t *testing.T) {
-	s := settled(t, 4)
-	relays := s.by(watch.AsRelay)
-	s.store.set(func() { s.store.cut[relays[0].name] = true }) // reads nothing from now on
+// A relay that has missed changes does not revert what its new watchers know.
+func TestOutdatedRelayRevertsNothing(t *testing.T) {
+	s := newSettledSite(t, 4)
+	relays := s.withSource(watch.AsRelay)
+	s.store.set(func() { s.store.unreachable[relays[0].name] = true }) // it reads nothing from now on
 	s.store.put("t//3", "new")
-	s.eventually(5*time.Second, "the change is known to all but one", func() bool {
-		for _, in := range append(s.by(watch.FromRelay), relays[1]) {
-			if in.knows("t//3") != "new" {
+	s.eventually(5*time.Second, "the change is known to all but the cut-off relay", func() bool {
+		for _, in := range append(s.withSource(watch.FromRelay), relays[1]) {
+			if in.knownValue("t//3") != "new" {
 				return false
 			}
 		}
-		return len(s.by(watch.FromRelay)) == 2
+		return len(s.withSource(watch.FromRelay)) == 2
 	})
 	s.kill(relays[1])
 	for range 200 {
-		for _, in := range s.by(watch.FromRelay) {
-			if in.knows("t//3") != "new" && in != relays[0] {
-				t.Fatalf("%s was taken back", in.name)
+		for _, in := range s.withSource(watch.FromRelay) {
+			if in.knownValue("t//3") != "new" && in != relays[0] {
+				t.Fatalf("%s lost the change t//3 again", in.name)
 			}
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// A relay that has lost the store is left for one that has it; once all have lost it,
-// those who follow are told, and told when it is back.
-func TestLostStore(t *testing.T) {
-	s := settled(t, 6)
-	relays, followers := s.by(watch.AsRelay), s.by(watch.FromRelay)
-	s.store.set(func() { s.store.cut[relays[0].name] = true })
-	s.eventually(5*time.Second, "all follow the other", func() bool {
+// Watchers leave a relay without the store for one that has it. Once no relay has it, the
+// watchers are notified that the store is unavailable, and notified again when it is
+// available.
+func TestStoreUnavailable(t *testing.T) {
+	s := newSettledSite(t, 6)
+	relays, followers := s.withSource(watch.AsRelay), s.withSource(watch.FromRelay)
+	s.store.set(func() { s.store.unreachable[relays[0].name] = true })
+	s.eventually(5*time.Second, "all watch the other relay", func() bool {
 		for _, in := range followers {
-			if in.Source().Relay == relays[0].name || in.isAway() {
+			if in.Source().Relay == relays[0].name || in.isUnavailable() {
 				return false
 			}
 		}
@@ -452,53 +453,53 @@
 	})
 	s.store.set(func() {
 		for _, in := range s.instances {
-			s.store.cut[in.name] = true
+			s.store.unreachable[in.name] = true
 		}
 	})
-	s.eventually(3*time.Second, "all know that it is away", func() bool {
+	s.eventually(3*time.Second, "all are notified that the store is unavailable", func() bool {
 		for _, in := range followers {
-			if !in.isAway() {
+			if !in.isUnavailable() {
 				return false
 			}
 		}
 		return true
 	})
-	s.store.set(func() { clear(s.store.cut) })
+	s.store.set(func() { clear(s.store.unreachable) })
 	s.store.put("t//1", "new")
-	s.eventually(2*time.Second, "all know that it is back", func() bool {
+	s.eventually(2*time.Second, "all know the new row", func() bool {
 		for _, in := range followers {
-			if in.isAway() {
+			if in.isUnavailable() {
 				return false
 			}
 		}
-		return s.all("t//1", "new")
+		return s.allKnow("t//1", "new")
 	})
 }
 
-// A relay that stops gives its slot up and sends its watchers elsewhere at once, and
-// another takes the slot.
-func TestRelayStops(t *testing.T) {
-	s := settled(t, 8)
-	in := s.by(watch.AsRelay)[0]
+// A relay that is disabled frees its slot and sends its watchers elsewhere within 0.4 s,
+// and another instance takes the slot.
+func TestDisableRelaying(t *testing.T) {
+	s := newSettledSite(t, 8)
+	in := s.withSource(watch.AsRelay)[0]
 	if err := in.DisableRelaying(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	s.eventually(400*time.Millisecond, "nobody follows it", func() bool { return in.Watchers() == 0 })
+	s.eventually(400*time.Millisecond, "no watchers left", func() bool { return in.Watchers() == 0 })
 	s.kill(in)
-	s.eventually(5*time.Second, "two relays again", func() bool { return len(s.by(watch.AsRelay)) == 2 })
+	s.eventually(5*time.Second, "two relays again", func() bool { return len(s.withSource(watch.AsRelay)) == 2 })
 }
 
-// Where relays have no room others become relays, as many as are wanted.
-func TestFullRelaysAreJoinedByOthers(t *testing.T) {
+// Where relays have no room, other instances become relays: 3 to 8 of 40.
+func TestRelaysAddedWhenFull(t *testing.T) {
 	s := newSite(t)
-	const instances = 40 // of which a relay of this size has room for twelve
+	const instances = 40 // a relay of this size has room for 12 watchers
 	for i := range instances {
 		s.start(fmt.Sprintf("n%02d", i), "z1", 0.1)
 	}
 	s.eventually(40*time.Second, "all have a source", func() bool {
-		return len(s.by(watch.AsRelay))+len(s.by(watch.FromRelay)) == instances
+		return len(s.withSource(watch.AsRelay))+len(s.withSource(watch.FromRelay)) == instances
 	})
-	if n := len(s.by(watch.AsRelay)); n < 3 || n > 8 {
-		t.Errorf("%d relays for %d instances", n, instances)
+	if n := len(s.withSource(watch.AsRelay)); n < 3 || n > 8 {
+		t.Errorf("%d relays for %d instances, want 3 to 8", n, instances)
 	}
 }
