--- a/pkg/watchcache/watchcache.go
+++ b/pkg/watchcache/watchcache.go
@@ -1,7 +1,7 @@
-// Package watchcache keeps a table of the platform's store in memory for other
-// instances: an instance that follows the table fills it, and those that follow the
-// instance are answered from it what has changed since the version that they know.
-// Rows that tell nothing new, such as heartbeats, are left out.
+// Package watchcache caches a table of the platform's store on behalf of other instances.
+// An instance that follows the table keeps the cache up to date, and answers from it what
+// has changed since the version that a follower knows. Changes without new content, such
+// as heartbeats, are left out.
 package watchcache
 
 import (
@@ -15,134 +15,136 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// keptDeletions is how many deletions are remembered. Who knows a version before the
-// oldest of them is given the whole table.
-const keptDeletions = 4096
+// maxDeletions is how many deletions are remembered. A follower whose version is older
+// than the oldest of them is sent the whole table.
+const maxDeletions = 4096
 
 // Config configures a Cache.
 type Config struct {
-	// Digest returns the same number for rows of one key that tell the same, or 0 for
-	// a row that tells something new; nil for always 0.
+	// Digest returns the same number for rows of one key with the same content, or 0 for
+	// a row that always counts as new content. Nil stands for a function that returns 0.
 	Digest func(platform.Row) uint64
-	// OnChange is told when there is more to tell; nil for nobody.
+	// OnChange is called when there is something new to send; it may be nil.
 	OnChange func()
 }
 
-// Cache is one table. It is safe for concurrent use.
+// Cache is the cache of one table. It is safe for concurrent use.
 type Cache struct {
-	digest func(platform.Row) uint64
-	news   func()
-
-	mu      sync.Mutex
-	rows    map[string]*change // those that there are, and the deletions that are kept
-	latest  *change            // the newest of a list in order of version
-	oldest  *change
-	deleted int    // how many of them are deletions
-	read    bool   // the table has been read once
-	version uint64 // up to which
-	floor   uint64 // deletions up to this version may be unknown
-	gaps    []gap  // those after it, oldest first
-	readAt  time.Time
-	lost    bool // the store could not be asked when it was last
-	whole   whole
+	digest   func(platform.Row) uint64
+	onChange func()
+
+	mu          sync.Mutex
+	rows        map[string]*change // by key: the last change of each row, remembered deletions included
+	latest      *change            // newest change, the end of a list in order of version
+	oldest      *change
+	deleted     int    // number of deletions in the list
+	loaded      bool   // whether the table has been read once
+	version     uint64 // version up to which the table is known
+	floor       uint64 // deletions up to this version may be missing
+	gaps        []gap  // gaps after floor, oldest first
+	readAt      time.Time
+	unavailable bool // whether the last read of the store failed
+	snapshot    snapshot
 }
 
-// change is the last change of a row. It is not changed once it is in the list.
+// change is the last change of a row. It is immutable once it is in the list.
 type change struct {
 	platform.Change
 	digest       uint64
 	older, newer *change
 }
 
-// whole is the whole table at a version, shared by those who are told all of it.
-type whole struct {
-	changes []platform.Change
-	version uint64
-	madeAt  time.Time // zero for never
+// snapshot is the whole table at a version. It is shared by all followers that are sent
+// the whole table.
+type snapshot struct {
+	changes   []platform.Change
+	version   uint64
+	createdAt time.Time // zero if it was never made
 }
 
-// wholeTime is how long a whole table is told before it is made anew: who is told it is
-// told what has changed since next.
-const wholeTime = time.Second
+// snapshotPeriod is how long a snapshot is reused. A follower that was sent an older
+// version gets the changes since that version next.
+const snapshotPeriod = time.Second
 
-// gap is a stretch of the store's history that was lost: rows that came and went in it
-// are unknown.
+// gap is a range of versions whose changes are unknown: rows may have been created and
+// deleted in it.
 type gap struct {
-	after, upTo uint64 // versions
+	after, upTo uint64 // versions; both exclusive
 }
 
-// keptGaps is how many gaps are remembered apart.
-const keptGaps = 16
+// maxGaps is how many gaps are remembered. Older ones are covered by floor.
+const maxGaps = 16
 
 // New returns an empty Cache.
 func New(cfg Config) *Cache {
-	c := &Cache{digest: cfg.Digest, news: cfg.OnChange, rows: map[string]*change{}}
+	c := &Cache{digest: cfg.Digest, onChange: cfg.OnChange, rows: map[string]*change{}}
 	if c.digest == nil {
 		c.digest = func(platform.Row) uint64 { return 0 }
 	}
-	if c.news == nil {
-		c.news = func() {}
+	if c.onChange == nil {
+		c.onChange = func() {}
 	}
 	return c
 }
 
-// Delta is what has become of a table since a version.
+// Delta is what has changed in a table since a version.
 type Delta struct {
-	// Reset means that Changes hold the whole table.
+	// Reset means that Changes is the whole table.
 	Reset bool
-	// Changes are not to be changed.
+	// Changes must not be modified.
 	Changes []platform.Change
-	// More means that there is more to tell from Version on.
+	// More means that there are further changes from Version on.
 	More bool
-	// Loaded means that the table has been read.
+	// Loaded means that the table has been read once.
 	Loaded bool
-	// Version is the one to ask from next.
+	// Version is the version up to which the table is known with Changes, to be passed to
+	// Since next.
 	Version uint64
-	// ReadAt is when the store was last asked with success.
+	// ReadAt is when the store was last read successfully.
 	ReadAt time.Time
-	// Unavailable means that the store could not be asked since.
+	// Unavailable means that reading the store has failed since ReadAt.
 	Unavailable bool
 }
 
-// Apply takes what a feed has learned of the table.
+// Apply applies an update of the table, as a feed.Follower delivers it.
 func (c *Cache) Apply(u feed.Update) {
 	if c.apply(u) {
-		c.news()
+		c.onChange()
 	}
 }
 
-// apply reports whether u tells anything new.
+// apply applies u and reports whether there is something new to send.
 func (c *Cache) apply(u feed.Update) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if u.Err != nil {
-		news := !c.lost
-		c.lost = true
-		return news
+		changed := !c.unavailable
+		c.unavailable = true
+		return changed
 	}
-	news := c.lost || !c.read
-	c.lost, c.readAt = false, u.At
+	changed := c.unavailable || !c.loaded
+	c.unavailable, c.readAt = false, u.At
 	changes := versioned(u)
 	if u.Reset {
-		c.skip(u.Version)
+		c.recordGap(u.Version)
 		kept := make(map[string]bool, len(u.Changes))
 		for _, ch := range u.Changes {
 			kept[ch.Key] = true
 		}
-		news = c.removeOthers(kept, u.Version) || news
+		changed = c.removeOthers(kept, u.Version) || changed
 		changes = slices.SortedFunc(slices.Values(changes), byVersion)
 	}
 	for _, ch := range changes {
-		news = c.put(ch) || news
+		changed = c.put(ch) || changed
 	}
-	c.read, c.version = true, max(c.version, u.Version)
-	return news
+	c.loaded, c.version = true, max(c.version, u.Version)
+	return changed
 }
 
-// skip tells that the whole table has been read at a version: nothing is known of what
-// came and went since the version before.
-func (c *Cache) skip(to uint64) {
-	if !c.read {
+// recordGap records a gap from the current version to the version of a full read: rows may
+// have been created and deleted in between.
+func (c *Cache) recordGap(to uint64) {
+	if !c.loaded {
 		c.floor = to
 		return
 	}
@@ -150,46 +152,45 @@
 		return
 	}
 	c.gaps = append(c.gaps, gap{after: c.version, upTo: to})
-	if len(c.gaps) > keptGaps {
+	if len(c.gaps) > maxGaps {
 		c.floor = max(c.floor, c.gaps[0].upTo)
 		c.gaps = slices.Delete(c.gaps, 0, 1)
 	}
 }
 
-// isKnown reports whether all that has become of the table since a version is known.
+// isKnown reports whether all changes since a version are known.
 func (c *Cache) isKnown(version uint64) bool {
 	inGap := func(g gap) bool { return g.after < version && version < g.upTo }
 	return version != 0 && version >= c.floor && !slices.ContainsFunc(c.gaps, inGap)
 }
 
-// Touch takes that the table has been read, or could not be, but nothing of what is in
-// it.
+// Touch records whether the table could be read, but not its changes.
 func (c *Cache) Touch(u feed.Update) {
 	c.mu.Lock()
-	news := c.lost != (u.Err != nil)
-	c.lost = u.Err != nil
+	changed := c.unavailable != (u.Err != nil)
+	c.unavailable = u.Err != nil
 	if u.Err == nil {
 		c.readAt = u.At
 	}
 	c.mu.Unlock()
-	if news {
-		c.news()
+	if changed {
+		c.onChange()
 	}
 }
 
-// Replace takes rows as the whole table, at at. It counts its own versions: those that
-// tell something new get the next one.
+// Replace makes rows, as read at at, the whole table. The cache numbers versions itself:
+// a call that brings something new creates the next version.
 func (c *Cache) Replace(rows []platform.Row, at time.Time) {
 	if c.replace(rows, at) {
-		c.news()
+		c.onChange()
 	}
 }
 
 func (c *Cache) replace(rows []platform.Row, at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	news := !c.read
-	c.read, c.readAt = true, at
+	changed := !c.loaded
+	c.loaded, c.readAt = true, at
 	next := c.version + 1
 	kept := make(map[string]bool, len(rows))
 	for _, r := range rows {
@@ -200,30 +201,31 @@
 		}
 		r.Version = next
 		c.insert(&change{Change: platform.Change{Row: r}})
-		news = true
+		changed = true
 	}
-	news = c.removeOthers(kept, next) || news
-	if news {
+	changed = c.removeOthers(kept, next) || changed
+	if changed {
 		c.version = next
 	}
-	return news
+	return changed
 }
 
-// removeOthers deletes the rows that are not among those kept, at a version, and reports
-// whether there were any.
+// removeOthers deletes the rows that are not in kept, at a version, and reports whether
+// there were any.
 func (c *Cache) removeOthers(kept map[string]bool, version uint64) bool {
-	news := false
+	changed := false
 	for key, old := range c.rows {
 		if !kept[key] && !old.Deleted {
 			c.insert(&change{Change: platform.Change{Row: platform.Row{Key: key, Version: version}, Deleted: true}})
-			news = true
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
-// versioned returns the changes of u. Deletions without a version of their own are given
-// the latest that they can have.
+// versioned returns the changes of u. A deletion without a version gets the latest
+// version that it can have: the one before the next change that has a version, or
+// u.Version.
 func versioned(u feed.Update) []platform.Change {
 	changes, latest := u.Changes, u.Version
 	for i := len(changes) - 1; i >= 0; i-- {
@@ -240,7 +242,7 @@
 	return changes
 }
 
-// put takes one change and reports whether it tells anything new.
+// put applies one change and reports whether it has new content.
 func (c *Cache) put(ch platform.Change) bool {
 	old := c.rows[ch.Key]
 	if old != nil && old.Version >= ch.Version {
@@ -258,13 +260,13 @@
 	return true
 }
 
-// insert puts n into the list in place of what is known of its row.
+// insert adds n to the list in place of the last change of its row.
 func (c *Cache) insert(n *change) {
 	if old := c.rows[n.Key]; old != nil {
 		c.unlink(old)
 	}
 	c.rows[n.Key] = n
-	after := c.latest // nearly always the place: changes come in order
+	after := c.latest // nearly always the right place
 	for after != nil && after.Version > n.Version {
 		after = after.older
 	}
@@ -301,12 +303,13 @@
 	}
 }
 
-// forgetDeletions forgets the older half of the deletions once there are too many.
+// forgetDeletions drops the oldest deletions, down to half of maxDeletions, once there
+// are more than maxDeletions.
 func (c *Cache) forgetDeletions() {
-	if c.deleted <= keptDeletions {
+	if c.deleted <= maxDeletions {
 		return
 	}
-	for n := c.oldest; n != nil && c.deleted > keptDeletions/2; {
+	for n := c.oldest; n != nil && c.deleted > maxDeletions/2; {
 		next := n.newer
 		if n.Deleted {
 			c.floor = max(c.floor, n.Version)
@@ -317,16 +320,17 @@
 	}
 }
 
-// Since returns what has changed after a version, 0 for one that knows nothing.
+// Since returns what has changed after a version; 0 stands for a follower that knows
+// nothing.
 func (c *Cache) Since(version uint64) Delta {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d := c.state()
-	if !c.read {
+	if !c.loaded {
 		return d
 	}
 	if !c.isKnown(version) {
-		w := c.wholeTable(version, time.Now())
+		w := c.fullTable(version, time.Now())
 		d.Reset, d.Changes, d.Version, d.More = true, w.changes, w.version, w.version < c.version
 		return d
 	}
@@ -337,13 +341,14 @@
 	return d
 }
 
-// wholeTable returns the whole table at a version that is not before the one given.
-func (c *Cache) wholeTable(version uint64, now time.Time) whole {
-	w := &c.whole
-	if w.version == c.version && !w.madeAt.IsZero() || w.version >= version && now.Sub(w.madeAt) < wholeTime {
+// fullTable returns a snapshot of the table at the given version or a later one. It makes
+// a new one if the last is outdated.
+func (c *Cache) fullTable(version uint64, now time.Time) snapshot {
+	w := &c.snapshot
+	if w.version == c.version && !w.createdAt.IsZero() || w.version >= version && now.Sub(w.createdAt) < snapshotPeriod {
 		return *w
 	}
-	*w = whole{version: c.version, madeAt: now, changes: make([]platform.Change, 0, len(c.rows)-c.deleted)}
+	*w = snapshot{version: c.version, createdAt: now, changes: make([]platform.Change, 0, len(c.rows)-c.deleted)}
 	for n := c.oldest; n != nil; n = n.newer {
 		if !n.Deleted {
 			w.changes = append(w.changes, n.Change)
@@ -353,7 +358,7 @@
 }
 
 func (c *Cache) state() Delta {
-	return Delta{Loaded: c.read, Version: c.version, ReadAt: c.readAt, Unavailable: c.lost}
+	return Delta{Loaded: c.loaded, Version: c.version, ReadAt: c.readAt, Unavailable: c.unavailable}
 }
 
 // State is Since without the changes.
@@ -363,12 +368,12 @@
 	return c.state()
 }
 
-// Len returns how many rows there are.
+// Len returns the number of rows.
 func (c *Cache) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.rows) - c.deleted
 }
 
-// byVersion orders changes as the list does.
+// byVersion compares changes by version, the order of the list.
 func byVersion(a, b platform.Change) int { return cmp.Compare(a.Version, b.Version) }
--- a/pkg/watchcache/watchcache_test.go
+++ b/pkg/watchcache/watchcache_test.go
@@ -18,29 +18,29 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m, 2000) }
 
-// value is a row's value: what it tells, and a count that is of no interest.
-func value(tells string, count int) json.RawMessage {
-	return json.RawMessage(fmt.Sprintf("%s %d", tells, count))
+// value returns a row's value: its content, and a count that is not part of the content.
+func value(content string, count int) json.RawMessage {
+	return json.RawMessage(fmt.Sprintf("%s %d", content, count))
 }
 
-func tells(r platform.Row) string {
+func content(r platform.Row) string {
 	var s string
 	fmt.Sscan(string(r.Value), &s)
 	return s
 }
 
-func digest(r platform.Row) uint64 { return uint64(tells(r)[0]) }
+func digest(r platform.Row) uint64 { return uint64(content(r)[0]) }
 
-// store is a table, its history, and the feeds of the caches that follow it.
+// store is a table and its change history.
 type store struct {
 	rows    map[string]platform.Row
 	history []platform.Change
 	version uint64
 }
 
-func (s *store) put(key, what string) {
+func (s *store) put(key, content string) {
 	s.version++
-	s.rows[key] = platform.Row{Key: key, Version: s.version, Value: value(what, int(s.version))}
+	s.rows[key] = platform.Row{Key: key, Version: s.version, Value: value(content, int(s.version))}
 	s.history = append(s.history, platform.Change{Row: s.rows[key]})
 }
 
@@ -54,7 +54,8 @@
 	s.history = append(s.history, ch)
 }
 
-// feedTo brings a cache up to date, by the changes or by the whole table.
+// feedTo brings a cache up to date, by the history from index from on or by the whole
+// table. It returns the length of the history.
 func (s *store) feedTo(c *watchcache.Cache, from int, whole bool) int {
 	u := feed.Update{At: time.Now(), Version: s.version, Reset: whole, Changes: s.history[from:]}
 	if whole {
@@ -67,22 +68,22 @@
 	return len(s.history)
 }
 
-// follower knows a table from what caches told it.
+// follower knows a table as caches have sent it.
 type follower struct {
 	rows    map[string]string
 	version uint64
 }
 
-func (f *follower) take(c *watchcache.Cache) {
-	for f.takeOnce(c) {
+func (f *follower) follow(c *watchcache.Cache) {
+	for f.followOnce(c) {
 	}
 }
 
-// takeOnce reports whether there is more.
-func (f *follower) takeOnce(c *watchcache.Cache) bool {
+// followOnce applies one Delta and reports whether there is more.
+func (f *follower) followOnce(c *watchcache.Cache) bool {
 	d := c.Since(f.version)
 	if !d.Loaded || d.Version < f.version {
-		return false // the cache is behind
+		return false // the cache is older than the follower
 	}
 	if d.Reset {
 		f.rows = map[string]string{}
@@ -91,17 +92,16 @@
 		if ch.Deleted {
 			delete(f.rows, ch.Key)
 		} else {
-			f.rows[ch.Key] = tells(ch.Row)
+			f.rows[ch.Key] = content(ch.Row)
 		}
 	}
 	f.version = d.Version
 	return d.More
 }
 
-// Whatever becomes of a table, of the caches that follow it and of the store's history,
-// a follower that goes from one cache to the other knows what the table tells as soon as
-// its cache does.
-func TestFollowersKnowWhatTheTableTells(t *testing.T) {
+// Whatever happens to the table, to its caches and to the store's history, a follower
+// that switches between caches knows the content of the table as soon as its cache does.
+func TestFollowersKnowTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{rows: map[string]platform.Row{}, version: 1}
 		var caches [2]*watchcache.Cache
@@ -114,7 +114,7 @@
 		keys := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			i := rapid.IntRange(0, 1).Draw(t, "cache")
-			switch rapid.SampledFrom([]string{"put", "put", "put", "remove", "feed", "feed", "follow", "read again", "begin anew"}).Draw(t, "event") {
+			switch rapid.SampledFrom([]string{"put", "put", "put", "remove", "feed", "feed", "follow", "full read", "new cache"}).Draw(t, "event") {
 			case "put":
 				s.put(keys.Draw(t, "key"), rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "value"))
 			case "remove":
@@ -123,73 +123,74 @@
 				}
 			case "feed":
 				fed[i], known[i] = s.feedTo(caches[i], fed[i], !known[i]), true
-			case "read again":
+			case "full read":
 				fed[i], known[i] = s.feedTo(caches[i], fed[i], true), true
-			case "begin anew":
+			case "new cache":
 				caches[i], known[i] = watchcache.New(watchcache.Config{Digest: digest}), false
 			case "follow":
-				f.take(caches[i])
+				f.follow(caches[i])
 			}
 			if i := rapid.IntRange(0, 1).Draw(t, "check"); known[i] {
 				fed[i] = s.feedTo(caches[i], fed[i], false)
-				f.take(caches[i])
+				f.follow(caches[i])
 				want := map[string]string{}
 				for k, r := range s.rows {
-					want[k] = tells(r)
+					want[k] = content(r)
 				}
 				if !maps.Equal(f.rows, want) {
-					t.Fatalf("known %v, want %v", f.rows, want)
+					t.Fatalf("follower knows %v, want %v", f.rows, want)
 				}
 			}
 		}
 	})
 }
 
-// Rows that tell nothing new are not told, and wake nobody.
-func TestHeartbeatsAreNotTold(t *testing.T) {
-	woken := 0
-	c := watchcache.New(watchcache.Config{Digest: digest, OnChange: func() { woken++ }})
+// Changes without new content are not sent and do not call OnChange.
+func TestHeartbeatsNotSent(t *testing.T) {
+	calls := 0
+	c := watchcache.New(watchcache.Config{Digest: digest, OnChange: func() { calls++ }})
 	s := &store{rows: map[string]platform.Row{}, version: 1}
 	s.put("a", "x")
 	fed := s.feedTo(c, 0, true)
 	first := c.Since(0)
-	if !first.Reset || len(first.Changes) != 1 || woken != 1 {
-		t.Fatalf("%+v, woken %d times", first, woken)
+	if !first.Reset || len(first.Changes) != 1 || calls != 1 {
+		t.Fatalf("first delta %+v, OnChange called %d times; want a reset with 1 change, 1 call", first, calls)
 	}
 	for range 10 {
 		s.put("a", "x")
 		fed = s.feedTo(c, fed, false)
 	}
-	if d := c.Since(first.Version); len(d.Changes) != 0 || d.Reset || d.Version != s.version || woken != 1 {
-		t.Fatalf("after heartbeats %+v, woken %d times", d, woken)
+	if d := c.Since(first.Version); len(d.Changes) != 0 || d.Reset || d.Version != s.version || calls != 1 {
+		t.Fatalf("after heartbeats: %+v, OnChange called %d times; want no changes, 1 call", d, calls)
 	}
 	s.put("a", "y")
 	s.feedTo(c, fed, false)
-	if d := c.Since(first.Version); len(d.Changes) != 1 || woken != 2 {
-		t.Fatalf("after a change %+v, woken %d times", d, woken)
+	if d := c.Since(first.Version); len(d.Changes) != 1 || calls != 2 {
+		t.Fatalf("after a change: %+v, OnChange called %d times; want 1 change, 2 calls", d, calls)
 	}
 }
 
-// A cache that cannot ask the store says so once, and once when it can again.
-func TestLostStoreIsTold(t *testing.T) {
-	woken := 0
-	c := watchcache.New(watchcache.Config{OnChange: func() { woken++ }})
+// A cache calls OnChange once when the store becomes unavailable and once when it is
+// available again.
+func TestUnavailableStore(t *testing.T) {
+	calls := 0
+	c := watchcache.New(watchcache.Config{OnChange: func() { calls++ }})
 	c.Apply(feed.Update{At: time.Now(), Version: 3, Reset: true})
 	for range 3 {
-		c.Apply(feed.Update{Err: errors.New("away")})
+		c.Apply(feed.Update{Err: errors.New("unavailable")})
 	}
-	if !c.State().Unavailable || woken != 2 {
-		t.Fatalf("%+v, woken %d times", c.State(), woken)
+	if !c.State().Unavailable || calls != 2 {
+		t.Fatalf("after failed reads: %+v, OnChange called %d times; want Unavailable, 2 calls", c.State(), calls)
 	}
 	c.Apply(feed.Update{At: time.Now(), Version: 4})
-	if c.State().Unavailable || woken != 3 {
-		t.Fatalf("%+v, woken %d times", c.State(), woken)
+	if c.State().Unavailable || calls != 3 {
+		t.Fatalf("after a read: %+v, OnChange called %d times; want not Unavailable, 3 calls", c.State(), calls)
 	}
 }
 
-// Of many deletions the older ones are forgotten, and who knows nothing of them is told
-// the whole table.
-func TestDeletionsAreForgotten(t *testing.T) {
+// The oldest of many deletions are dropped, and a follower that may have missed them is
+// sent the whole table.
+func TestOldDeletionsDropped(t *testing.T) {
 	c := watchcache.New(watchcache.Config{})
 	s := &store{rows: map[string]platform.Row{}, version: 1}
 	s.put("stays", "x")
@@ -201,26 +202,26 @@
 	}
 	s.feedTo(c, fed, false)
 	if d := c.Since(before); !d.Reset || len(d.Changes) != 1 {
-		t.Fatalf("whole table %v, %d rows", d.Reset, len(d.Changes))
+		t.Fatalf("reset %v with %d rows, want a reset with 1 row", d.Reset, len(d.Changes))
 	}
 	if d := c.Since(s.version - 2); d.Reset || len(d.Changes) != 1 {
-		t.Fatalf("whole table %v, %d changes of one", d.Reset, len(d.Changes))
+		t.Fatalf("reset %v with %d changes, want 1 change without reset", d.Reset, len(d.Changes))
 	}
 }
 
-// Rows that are replaced as a whole are told as far as they differ.
+// Replace sends only the rows that differ.
 func TestReplace(t *testing.T) {
 	c := watchcache.New(watchcache.Config{})
-	row := func(key, what string) platform.Row { return platform.Row{Key: key, Value: value(what, 0)} }
+	row := func(key, content string) platform.Row { return platform.Row{Key: key, Value: value(content, 0)} }
 	c.Replace([]platform.Row{row("a", "x"), row("b", "x"), row("c", "x")}, time.Now())
 	first := c.Since(0)
 	c.Replace([]platform.Row{row("a", "x"), row("b", "y")}, time.Now())
 	d := c.Since(first.Version)
 	if d.Reset || len(d.Changes) != 2 || c.Len() != 2 {
-		t.Fatalf("%+v of %d rows", d, c.Len())
+		t.Fatalf("%+v of %d rows, want 2 changes of 2 rows", d, c.Len())
 	}
 	c.Replace([]platform.Row{row("a", "x"), row("b", "y")}, time.Now())
 	if again := c.Since(d.Version); len(again.Changes) != 0 {
-		t.Fatalf("%+v after nothing has changed", again)
+		t.Fatalf("%+v after nothing has changed, want no changes", again)
 	}
 }
