--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed follows tables of the platform's store: it reads a table once,
-// then what changes in it, and tells when the store is away.
+// Package feed follows tables of the platform's store: it reads a table in full once,
+// then its changes, and reports when the store is unavailable.
 package feed
 
 import (
@@ -14,33 +14,34 @@
 )
 
 const (
-	// scanRows is how many rows are asked for in one call, the most that the
-	// store answers.
+	// scanRows is how many rows are requested in one call, the maximum that the store
+	// returns.
 	scanRows = 500
-	// minBackoff and maxBackoff bound the pause after a failed call, which
-	// doubles and of which a half is drawn, so that instances that lost the
-	// store together do not return together.
+	// minBackoff and maxBackoff bound the backoff after a failed call, which doubles with
+	// each failure. Half of it is jitter, so that instances that lost the store together
+	// do not return together.
 	minBackoff = 80 * time.Millisecond
 	maxBackoff = 600 * time.Millisecond
 )
 
-// Update is what a Follower learned at At.
+// Update is what a Follower learned of a table at time At.
 type Update struct {
 	Table string
 	At    time.Time
-	// Reset means that Changes hold the whole table.
+	// Reset means that Changes is the whole table.
 	Reset   bool
 	Changes []platform.Change
-	// Version is the one up to which the table is known now.
+	// Version is the version up to which the table is known with Changes.
 	Version uint64
-	// Relayed means that another instance told it, which follows the table.
+	// Relayed means that the update comes from another instance that follows the table.
 	Relayed bool
-	// Err means that the store could not be asked; Changes are empty.
+	// Err is the error of a failed read of the store; Changes is empty then.
 	Err error
 }
 
-// errOld is told of a table that was read as it was before what is known of it.
-var errOld = errors.New("the table was read as of an earlier time")
+// errOutdated reports a full read of the table at an earlier version than is known
+// already.
+var errOutdated = errors.New("the store returned the table at an earlier version than is known")
 
 // Follower follows one table.
 type Follower struct {
@@ -48,24 +49,24 @@
 	Table string
 	// Prefixes cover the keys of the table, one for each partition.
 	Prefixes []string
-	// Wait is how long the store holds a call until there is a change, and so
-	// how often an idle table tells that the store is there.
+	// Wait is how long the store holds a call while there is no change, and so how often
+	// an idle table gets an Update that shows that the store is available.
 	Wait time.Duration
-	// Pause returns the least time between two calls, so that changes in quick
-	// succession are read together; nil for none.
+	// Pause returns the least time between two calls, so that changes in quick succession
+	// are read together; nil for none.
 	Pause func() time.Duration
-	// From is the version up to which the table is known already; 0 for nothing.
+	// From is the version up to which the table is known already; 0 for a full read.
 	From uint64
-	// OnUpdate is given each Update, in order.
+	// OnUpdate is called with each Update, in order.
 	OnUpdate func(Update)
 }
 
-// Run follows the table until ctx ends.
+// Run follows the table until ctx ends. It always returns nil.
 func (f *Follower) Run(ctx context.Context) error {
 	backoff := minBackoff
-	failed := func(err error) {
+	onError := func(err error) {
 		if ctx.Err() != nil {
-			return // it was given up here
+			return // the call was cancelled, so its error says nothing about the store
 		}
 		f.OnUpdate(Update{Table: f.Table, At: time.Now(), Err: err})
 		clock.Sleep(ctx, backoff/2+rand.N(backoff/2))
@@ -76,10 +77,10 @@
 		if !known {
 			rows, scanned, err := f.scan(ctx)
 			if err == nil && scanned < version {
-				err = fmt.Errorf("%w: feed: %s: %w", platform.ErrUnavailable, f.Table, errOld)
+				err = fmt.Errorf("%w: feed: %s: %w", platform.ErrUnavailable, f.Table, errOutdated)
 			}
 			if err != nil {
-				failed(err)
+				onError(err)
 				continue
 			}
 			backoff, version, known = minBackoff, scanned, true
@@ -91,7 +92,7 @@
 			known = false
 			continue
 		case err != nil:
-			failed(err)
+			onError(err)
 			continue
 		}
 		backoff, version = minBackoff, ch.Version
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// scan reads the whole table. The version is one after which changes are to be
-// followed; some of them may be in the rows already.
+// scan reads the whole table, page by page. It returns the lowest version of its pages:
+// changes are to be followed from there, and some of them may be in the rows already.
 func (f *Follower) scan(ctx context.Context) ([]platform.Change, uint64, error) {
 	var out []platform.Change
 	var version uint64
--- a/pkg/feed/feed_test.go
+++ b/pkg/feed/feed_test.go
@@ -15,20 +15,21 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// table is a table in memory that can be away and forget its history.
+// table is an in-memory table that can be unavailable, drop its change history and return
+// outdated rows.
 type table struct {
-	mu      sync.Mutex
-	rows    []platform.Row // in order of key
-	history []platform.Change
-	version uint64
-	lostTo  uint64
-	old     []platform.Row // what scans tell as of oldAt, unless that is 0
-	oldAt   uint64
-	away    bool
-	scans   int
+	mu          sync.Mutex
+	rows        []platform.Row // sorted by key
+	history     []platform.Change
+	version     uint64
+	droppedTo   uint64
+	old         []platform.Row // rows that scans return if oldAt is not 0
+	oldAt       uint64
+	unavailable bool
+	scans       int
 }
 
-var errAway = fmt.Errorf("%w: away", platform.ErrUnavailable)
+var errUnavailable = fmt.Errorf("%w: unreachable", platform.ErrUnavailable)
 
 func (t *table) put(key string) {
 	t.mu.Lock()
@@ -45,13 +46,13 @@
 	f()
 }
 
-// ScanFrom answers two rows at a time.
+// ScanFrom returns at most two rows.
 func (t *table) ScanFrom(_ context.Context, prefix, from string, _ int) (platform.Page, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.scans++
-	if t.away {
-		return platform.Page{}, errAway
+	if t.unavailable {
+		return platform.Page{}, errUnavailable
 	}
 	p, rows := platform.Page{Version: t.version}, t.rows
 	if t.oldAt != 0 {
@@ -73,7 +74,7 @@
 func (t *table) Changes(ctx context.Context, _ string, after uint64, wait time.Duration) (platform.Changes, error) {
 	for deadline := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
 		t.mu.Lock()
-		away, lost, ch := t.away, after < t.lostTo, platform.Changes{Version: t.version}
+		unavailable, dropped, ch := t.unavailable, after < t.droppedTo, platform.Changes{Version: t.version}
 		for _, h := range t.history {
 			if h.Version > after {
 				ch.Rows = append(ch.Rows, h)
@@ -81,9 +82,9 @@
 		}
 		t.mu.Unlock()
 		switch {
-		case away:
-			return platform.Changes{}, errAway
-		case lost:
+		case unavailable:
+			return platform.Changes{}, errUnavailable
+		case dropped:
 			return platform.Changes{}, platform.ErrHistoryGone
 		case len(ch.Rows) > 0 || time.Now().After(deadline) || ctx.Err() != nil:
 			return ch, nil
@@ -91,9 +92,8 @@
 	}
 }
 
-// A follower knows each row of a table, of all its pages and partitions, and
-// what changes, also after an outage and a loss of the history, and tells of
-// both.
+// A follower knows all rows of a table, across pages and partitions, and its changes. It
+// recovers from an outage and from a loss of the change history, and reports both.
 func TestFollower(t *testing.T) {
 	tab := &table{}
 	for i := range 5 {
@@ -101,13 +101,13 @@
 	}
 	tab.put("t/1/x")
 	var mu sync.Mutex
-	known, resets, lost := map[string]bool{}, 0, 0
+	known, resets, failures := map[string]bool{}, 0, 0
 	f := feed.Follower{Store: tab, Table: "t", Prefixes: []string{"t/0/", "t/1/"}, Wait: 20 * time.Millisecond, OnUpdate: func(u feed.Update) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
 		case errors.Is(u.Err, platform.ErrUnavailable):
-			lost++
+			failures++
 		case u.Reset:
 			resets++
 			clear(known)
@@ -130,7 +130,7 @@
 				return
 			}
 			if i > 3000 {
-				t.Fatalf("not seen: %s (known %v, %d resets, %d lost)", what, known, resets, lost)
+				t.Fatalf("no update for 3 s: %s (known %v, %d resets, %d errors)", what, known, resets, failures)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -138,18 +138,19 @@
 	want("all rows", func() bool { return len(known) == 6 && resets == 1 })
 	tab.put("t/1/y")
 	want("a change", func() bool { return known["t/1/y"] })
-	tab.set(func() { tab.away = true })
-	want("the outage", func() bool { return lost > 0 })
+	tab.set(func() { tab.unavailable = true })
+	want("the outage", func() bool { return failures > 0 })
 	tab.put("t/1/z")
-	tab.set(func() { tab.away = false })
+	tab.set(func() { tab.unavailable = false })
 	want("what changed meanwhile", func() bool { return known["t/1/z"] })
-	tab.set(func() { tab.version++; tab.lostTo, tab.history = tab.version, nil })
+	tab.set(func() { tab.version++; tab.droppedTo, tab.history = tab.version, nil })
 	want("the table again", func() bool { return resets == 2 && len(known) == 8 })
 }
 
-// While the store is away a follower calls it a few times a second at most.
+// A follower backs off while the store is unavailable: it makes at most 12 calls within
+// 1.5 s.
 func TestFollowerBacksOff(t *testing.T) {
-	tab := &table{away: true}
+	tab := &table{unavailable: true}
 	f := feed.Follower{Store: tab, Table: "t", Prefixes: []string{"t/0/"}, OnUpdate: func(feed.Update) {}}
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
@@ -157,21 +158,22 @@
 		t.Fatal(err)
 	}
 	if tab.scans > 12 {
-		t.Fatalf("%d calls in 1.5 s", tab.scans)
+		t.Fatalf("%d calls in 1.5 s, want at most 12", tab.scans)
 	}
 }
 
-// A store that has forgotten its history and tells an old table is not followed back.
-func TestOldTableIsNotTaken(t *testing.T) {
+// A follower does not go back to an earlier version when the store has dropped its change
+// history and returns an outdated table.
+func TestOutdatedTableRejected(t *testing.T) {
 	tab := &table{}
 	tab.put("t/0/a")
 	tab.put("t/0/b")
 	var mu sync.Mutex
-	var told []feed.Update
+	var updates []feed.Update
 	f := feed.Follower{Store: tab, Table: "t", Prefixes: []string{"t/0/"}, Wait: 5 * time.Millisecond, OnUpdate: func(u feed.Update) {
 		mu.Lock()
 		defer mu.Unlock()
-		told = append(told, u)
+		updates = append(updates, u)
 	}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
@@ -180,7 +182,7 @@
 	resets := func() (n int, last uint64) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, u := range told {
+		for _, u := range updates {
 			if u.Reset {
 				n, last = n+1, u.Version
 			}
@@ -191,7 +193,7 @@
 		t.Helper()
 		for deadline := time.Now().Add(3 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("not seen: %s", what)
+				t.Fatalf("no update within 3 s: %s", what)
 			}
 		}
 	}
@@ -199,17 +201,17 @@
 	tab.set(func() {
 		tab.old, tab.oldAt = tab.rows[:1], 1
 		tab.version++
-		tab.lostTo, tab.history = tab.version, nil
+		tab.droppedTo, tab.history = tab.version, nil
 	})
-	await("that it cannot be read", func() bool {
+	await("the failed read", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return errors.Is(told[len(told)-1].Err, platform.ErrUnavailable)
+		return errors.Is(updates[len(updates)-1].Err, platform.ErrUnavailable)
 	})
 	time.Sleep(300 * time.Millisecond)
 	if n, last := resets(); n != 1 {
-		t.Fatalf("told %d tables, the last as of %d", n, last)
+		t.Fatalf("%d full reads delivered, the last at version %d; want 1", n, last)
 	}
 	tab.set(func() { tab.oldAt = 0 })
-	await("the table as it is", func() bool { n, last := resets(); return n == 2 && last == tab.version })
+	await("the current table", func() bool { n, last := resets(); return n == 2 && last == tab.version })
 }
