--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership tells which instances there are. Each keeps a row in the
-// platform's store that it rewrites periodically; one whose row has stood
-// unchanged for too long, by the reader's own clock, is taken for gone.
+// Package membership keeps track of the live instances. Each instance keeps a row in the
+// platform's store that it renews periodically. An instance whose row has not changed for
+// its TTL, by the reader's own clock, is stale.
 package membership
 
 import (
@@ -18,129 +18,134 @@
 )
 
 const (
-	// Table is the table of the members' rows.
+	// Table is the name of the table of the members' rows.
 	Table = "members"
-	// minPeriod is the time between two renewals of the row of a member that
-	// owns work, which others must take over soon should it be gone; few do.
+	// minPeriod is the renewal period of members that own work: others must take it over
+	// soon after a failure, and few members own work.
 	minPeriod = 400 * time.Millisecond
-	// toldPeriod is the time between two renewals of a member that callers are
-	// told of: should it be gone, they are told of it for less than four seconds
-	// more, whatever the number of members.
-	toldPeriod = time.Second
-	// renewals is how many renewals a second the other members make together at
-	// the most: a fifth of what one partition of the store takes, and few enough
-	// for each member to read.
-	renewals = 40
-	// missedPeriods is how many periods a row may stand unchanged; one call may
-	// be lost and the next be slow.
+	// advertisedPeriod is the renewal period of members that callers are given the
+	// address of: after a failure, callers are given the address for less than four
+	// seconds more, whatever the number of members.
+	advertisedPeriod = time.Second
+	// maxRenewalRate is how many renewals per second all other members make together at
+	// most: a fifth of what one partition of the store can take, and few enough for each
+	// member to read.
+	maxRenewalRate = 40
+	// missedPeriods is how many periods a row may be unchanged before it is stale: one
+	// call may be lost and the next be slow.
 	missedPeriods = 3
-	// readingSlack is added, as rows are read in intervals.
-	readingSlack = 600 * time.Millisecond
+	// readSlack is added to the TTL because rows are read at intervals.
+	readSlack = 600 * time.Millisecond
 )
 
-// Prefix returns the prefix of the members' keys.
+// Prefix returns the prefix of the keys of Table.
 func Prefix() string { return Table + "//" }
 
-// Key returns the key of the row of the instance named name.
+// Key returns the key of the row of the instance with the given name.
 func Key(name string) string { return Prefix() + name }
 
-// Member is an instance as its row tells it.
+// Member is an instance as described by its row.
 type Member struct {
 	Name    string `json:"-"`
-	StartID string `json:"-"`       // the holder of the row: one for each start of the instance
-	Address string `json:"address"` // where callers connect
-	// PeerAddress is where other instances connect; empty for nowhere.
+	StartID string `json:"-"`       // lease holder of the row: ID of one start of the instance
+	Address string `json:"address"` // address for callers
+	// PeerAddress is the address for other instances; empty if there is none.
 	PeerAddress string `json:"peer_address,omitempty"`
 	DataCentre  string `json:"data_centre"`
 	Draining    bool   `json:"draining,omitempty"`
-	// Cores is how much work it can carry, in processor cores.
+	// Cores is the capacity of the instance in processor cores.
 	Cores float64 `json:"cores"`
-	// Configuration is the version of the configuration that it had in force when
-	// it last wrote its row; 0 for none. Operators read it from the rows; a View does
-	// not tell it, as it changes at all members with each configuration.
+	// Configuration is the version of the configuration in force when the row was last
+	// written; 0 for none. It is for operators, who read the rows. Members of a View do
+	// not have it, as it changes at all members with each configuration.
 	Configuration uint64 `json:"configuration,omitempty"`
-	// WatchSource is what it follows the store's tables by, as its row told last: its relay's
-	// address, or that it reads them itself. Operators read it, as Configuration.
+	// WatchSource is what the instance follows the store's tables from: the address of
+	// its relay, or the kind of another source. It is for operators, and Members of a
+	// View do not have it, as with Configuration.
 	WatchSource string `json:"follows,omitempty"`
-	// Advertisable means that the row is renewed so often that callers may be told of
-	// the member.
+	// Advertisable means that the row is renewed often enough for callers to be given the
+	// address of the instance.
 	Advertisable bool `json:"-"`
 }
 
-// Role is what others rely on a member for, from little to much.
+// Role is what others rely on a member for. Roles are in order of the renewal rate they
+// need.
 type Role int
 
-// The duties of a member.
+// The roles of a member.
 const (
 	Idle       Role = iota
-	Advertised      // callers are told of it, or soon may be
-	Owner           // it owns work
+	Advertised      // callers are given its address, or soon may be
+	Owner           // it owns submissions
 )
 
-// StartID returns what identifies one start of the instance named name.
+// StartID returns the ID of the start at time at of the instance with the given name.
 func StartID(name string, at time.Time) string { return fmt.Sprintf("%s#%d", name, at.UnixNano()) }
 
-// NameOf returns the name of the instance that start is one of.
+// NameOf returns the name of the instance that a start ID belongs to.
 func NameOf(start string) string {
 	name, _, _ := strings.Cut(start, "#")
 	return name
 }
 
-// RenewalPeriod returns how often a member renews its row when there are n of them.
-func RenewalPeriod(n int, d Role) time.Duration {
-	idle := max(minPeriod, time.Duration(n)*time.Second/renewals)
-	switch d {
+// RenewalPeriod returns the period in which a member with role r renews its row when
+// there are n members.
+func RenewalPeriod(n int, r Role) time.Duration {
+	idle := max(minPeriod, time.Duration(n)*time.Second/maxRenewalRate)
+	switch r {
 	case Owner:
 		return minPeriod
 	case Advertised:
-		return min(idle, toldPeriod)
+		return min(idle, advertisedPeriod)
 	}
 	return idle
 }
 
-// TTL returns how long a row that is renewed each period may stand unchanged.
-// It is written in the row.
-func TTL(period time.Duration) time.Duration { return missedPeriods*period + readingSlack }
+// TTL returns how long a row with the given renewal period may be unchanged before it is
+// stale. Members write the TTL into their rows.
+func TTL(period time.Duration) time.Duration { return missedPeriods*period + readSlack }
 
-// View is what an instance knows of the members. It is not safe for
-// concurrent use.
+// View is what an instance knows of the members. It is not safe for concurrent use.
 type View struct {
-	members map[string]*seen
-	names   []string // of members, in order
-	roster  *Roster  // as last made
-	// What roster tells holds for the instance named madeBy from madeFor on and
-	// before validUntil, unless what members' rows tell has changed since.
-	madeBy              string
-	madeFor, validUntil time.Time
-	changed             bool
+	members map[string]*record
+	names   []string // names of members, sorted
+	roster  *Roster  // last roster made
+	// roster is valid for the instance rosterSelf from rosterFrom on and before
+	// rosterUntil, unless changed is set since.
+	rosterSelf              string
+	rosterFrom, rosterUntil time.Time
+	changed                 bool
 }
 
-type seen struct {
-	*Member                   // not changed
-	data      json.RawMessage // what Member was read from
+type record struct {
+	*Member                   // immutable
+	data      json.RawMessage // data that Member was decoded from
 	version   uint64
-	ttl       time.Duration // how long the row may stand unchanged
+	ttl       time.Duration // time without a change after which the row is stale
 	changedAt time.Time
-	// told means that another instance told it, which judges whether it has lapsed.
-	told, lapsed bool
+	// relayed means that the record comes from another instance, which decides whether it
+	// is stale.
+	relayed, stale bool
 }
 
-// same returns m, as s holds it already if it does: rosters are told apart by their
-// members' addresses in memory. s may be nil.
-func (s *seen) same(m Member) *Member {
+// shared returns the Member of s if it equals m, and otherwise a new one: rosters are
+// compared by the addresses of their members in memory. s may be nil.
+func (s *record) shared(m Member) *Member {
 	if s != nil && *s.Member == m {
 		return s.Member
 	}
 	return &m
 }
 
-// lapsesAt returns when s is taken for gone.
-func (s *seen) lapsesAt() time.Time { return s.changedAt.Add(s.ttl) }
+// staleAt returns when the row becomes stale.
+func (s *record) staleAt() time.Time { return s.changedAt.Add(s.ttl) }
 
 // NewView returns an empty View.
-func NewView() *View { return &View{members: map[string]*seen{}, roster: NewRoster(nil)} }
+func NewView() *View { return &View{members: map[string]*record{}, roster: NewRoster(nil)} }
 
-// Apply takes changes of the table read at at.
+// Apply applies changes of Table that were read at the time at; with reset set, they are
+// the whole table. It returns an error that joins those of malformed rows, and leaves
+// these rows as they were known.
 func (v *View) Apply(changes []platform.Change, reset bool, at time.Time) error {
 	if reset {
 		v.keepOnly(changes)
@@ -159,7 +164,7 @@
 	return first
 }
 
-// keepOnly removes the members that are not among rows.
+// keepOnly removes the members that are not in rows.
 func (v *View) keepOnly(rows []platform.Change) {
 	kept := make(map[string]bool, len(rows))
 	for _, ch := range rows {
@@ -180,15 +185,16 @@
 	v.changed = true
 }
 
-// set keeps what is known of the member named name.
-func (v *View) set(name string, s *seen) {
+// set stores the record of the member with the given name.
+func (v *View) set(name string, s *record) {
 	if i, found := slices.BinarySearch(v.names, name); !found {
 		v.names = slices.Insert(v.names, i, name)
 	}
 	v.members[name] = s
 }
 
-// Decode returns the member that row tells of, and the lease that the row is.
+// Decode returns the member described by a row of Table, and the lease that the row
+// contains. It fails if either is malformed.
 func Decode(row platform.Row) (Member, lease.Lease, error) {
 	l, err := lease.Decode(row)
 	if err != nil {
@@ -201,48 +207,48 @@
 func decodeMember(key string, l lease.Lease) (Member, error) {
 	m := Member{}
 	if err := json.Unmarshal(l.Data, &m); err != nil {
-		return Member{}, fmt.Errorf("membership: %s: %w", key, err)
+		return Member{}, fmt.Errorf("membership: decode row %s: %w", key, err)
 	}
 	m.Name, m.StartID = strings.TrimPrefix(key, Prefix()), l.Holder
 	return m, nil
 }
 
-// put takes the row of the member named name. Nearly all rows are renewals that
-// tell nothing new of their member, which leave the roster as it is.
+// put applies the row of the member with the given name. Nearly all rows are renewals
+// without new content, which leave the roster as it is.
 func (v *View) put(name string, row platform.Row, at time.Time) error {
 	old := v.members[name]
-	if old != nil && !old.told && old.version == row.Version {
+	if old != nil && !old.relayed && old.version == row.Version {
 		return nil
 	}
 	l, err := lease.Decode(row)
 	if err != nil {
 		return err
 	}
-	s := &seen{data: l.Data, version: row.Version, ttl: l.TTL(TTL(minPeriod)), changedAt: at}
-	prompt := s.ttl <= TTL(toldPeriod)
-	if old != nil && old.StartID == l.Holder && old.Advertisable == prompt && bytes.Equal(old.data, l.Data) {
+	s := &record{data: l.Data, version: row.Version, ttl: l.TTL(TTL(minPeriod)), changedAt: at}
+	advertisable := s.ttl <= TTL(advertisedPeriod)
+	if old != nil && old.StartID == l.Holder && old.Advertisable == advertisable && bytes.Equal(old.data, l.Data) {
 		s.Member = old.Member
 	} else {
 		m, err := decodeMember(row.Key, l)
 		if err != nil {
 			return err
 		}
-		m.Configuration, m.WatchSource, m.Advertisable = 0, "", prompt
-		s.Member = old.same(m)
+		m.Configuration, m.WatchSource, m.Advertisable = 0, "", advertisable
+		s.Member = old.shared(m)
 	}
-	if old != nil && old.lapsed && old.version == row.Version {
-		s.changedAt = at.Add(-s.ttl) // it has not been renewed since
+	if old != nil && old.stale && old.version == row.Version {
+		s.changedAt = at.Add(-s.ttl) // it was stale before and has not been renewed since
 	}
-	if old == nil || old.Member != s.Member || !v.roster.has(name) || s.lapsesAt().Before(v.validUntil) {
+	if old == nil || old.Member != s.Member || !v.roster.has(name) || s.staleAt().Before(v.rosterUntil) {
 		v.changed = true
 	}
 	v.set(name, s)
 	return nil
 }
 
-// ExtendAfterOutage takes the rows of the members that were there at since for changed at
-// at: the table could not be read from since to at, so that they could have
-// renewed them unseen, or could not renew them.
+// ExtendAfterOutage counts the rows of members that were not stale at since as changed at
+// at. It is for a time in which the table could not be read, when members could have
+// renewed their rows unseen or could not renew them.
 func (v *View) ExtendAfterOutage(since, at time.Time) {
 	v.changed = true
 	for _, s := range v.members {
@@ -252,23 +258,23 @@
 	}
 }
 
-// Current reports whether what v tells at now of who is there is recent enough for
-// callers, given when its table was first found not to be read, zero if it is read.
-// It is not while the row of the member named self stands for long either.
-func (v *View) Current(now, awaySince time.Time, self string) bool {
-	if !awaySince.IsZero() && now.Sub(awaySince) > currentFor {
+// Current reports whether v is recent enough at now for callers to rely on. unreadableSince is
+// when the table was first found unreadable, zero if it can be read. The view is not
+// current either if the row of the member named self has not changed for long.
+func (v *View) Current(now, unreadableSince time.Time, self string) bool {
+	if !unreadableSince.IsZero() && now.Sub(unreadableSince) > maxViewAge {
 		return false
 	}
 	own := v.members[self]
-	return own == nil || now.Sub(own.changedAt) <= max(own.ttl, currentFor)
+	return own == nil || now.Sub(own.changedAt) <= max(own.ttl, maxViewAge)
 }
 
-// currentFor is how long a view that cannot be renewed is current: callers are not
-// to be told for much longer than four seconds of a member that has gone.
-const currentFor = 3 * time.Second
+// maxViewAge is how long a view that cannot be updated stays current: callers must not be
+// given the address of a failed member for much longer than four seconds.
+const maxViewAge = 3 * time.Second
 
-// UnchangedFor returns the names of members whose rows have stood unchanged for so
-// long that they can be deleted.
+// UnchangedFor returns the names of members whose rows have not changed for longer than
+// after at the time now. Such rows can be deleted.
 func (v *View) UnchangedFor(now time.Time, after time.Duration) []string {
 	var out []string
 	for name, s := range v.members {
@@ -280,10 +286,10 @@
 	return out
 }
 
-// Size returns how many rows there are.
+// Size returns the number of rows.
 func (v *View) Size() int { return len(v.members) }
 
-// StartIDOf returns the start that the row of the instance named name tells.
+// StartIDOf returns the start ID in the row of the instance with the given name.
 func (v *View) StartIDOf(name string) (start string, ok bool) {
 	if s := v.members[name]; s != nil {
 		return s.StartID, true
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -32,8 +32,9 @@
 	return out
 }
 
-// A member whose row stands unchanged lapses; one that is renewed does not.
-func TestSilentMemberLapses(t *testing.T) {
+// A member becomes stale when its row stays unchanged, and stays live when its row is
+// renewed.
+func TestUnchangedMemberBecomesStale(t *testing.T) {
 	v, now := membership.NewView(), time.Unix(1_800_000_000, 0)
 	apply := func(chs ...platform.Change) {
 		if err := v.Apply(chs, false, now); err != nil {
@@ -50,9 +51,9 @@
 	}
 }
 
-// While an instance's own row cannot be written, as when a part of the store is
-// away, it takes no other for gone.
-func TestNobodyLapsesWhileOwnRowStands(t *testing.T) {
+// While an instance's own row is unchanged or missing, no other member becomes stale:
+// some tables of the store may be unavailable.
+func TestNoMemberStaleWhileOwnRowUnchanged(t *testing.T) {
 	v, now := membership.NewView(), time.Unix(1_800_000_000, 0)
 	for i, n := range []string{"a", "b", "c"} {
 		if err := v.Apply([]platform.Change{row(t, n, n+"#1", uint64(i+1))}, false, now); err != nil {
@@ -61,16 +62,16 @@
 	}
 	now = now.Add(time.Minute)
 	if got := names(v.Live(now, "a")); got != "abc" {
-		t.Fatalf("live: %s, want all", got)
+		t.Fatalf("live: %s, want abc", got)
 	}
 	if got := names(v.Live(now, "new")); got != "abc" {
-		t.Fatalf("an instance that has written no row yet sees %s, want all", got)
+		t.Fatalf("live as seen by an instance without a row: %s, want abc", got)
 	}
 }
 
-// After the table could not be read, members that were there before are given
-// time; those that had lapsed before are not taken for live again.
-func TestExcuse(t *testing.T) {
+// After an outage of the table, members that were live before it stay live, and those
+// that were stale before it stay stale.
+func TestExtendAfterOutage(t *testing.T) {
 	v, now := membership.NewView(), time.Unix(1_800_000_000, 0)
 	if err := v.Apply([]platform.Change{row(t, "gone", "gone#1", 1)}, false, now); err != nil {
 		t.Fatal(err)
@@ -87,15 +88,15 @@
 	}
 }
 
-// However many members there are, their renewals together are bounded.
+// The rate of renewals is bounded for any number of members.
 func TestRenewalsAreBounded(t *testing.T) {
 	for _, n := range []int{1, 11, 84, 370} {
 		if rate := float64(n) / membership.RenewalPeriod(n, membership.Idle).Seconds(); rate > 41 {
-			t.Errorf("%d members renew %.0f times a second", n, rate)
+			t.Errorf("%d members make %.0f renewals per second, want at most 41", n, rate)
 		}
 	}
 	if ttl := membership.TTL(membership.RenewalPeriod(370, membership.Owner)); ttl > 2500*time.Millisecond {
-		t.Errorf("an owner among 370 is missed after %v", ttl)
+		t.Errorf("TTL of an owner among 370 members: %v, want at most 2.5 s", ttl)
 	}
 }
 
@@ -105,25 +106,25 @@
 	// Output: edge-1#7 edge-1
 }
 
-// What a view tells is current while its table is read and its own row changes, and
-// for three seconds after.
+// A view is current while its table is read and its own row changes, and for three
+// seconds after.
 func TestCurrent(t *testing.T) {
 	v, now := membership.NewView(), time.Unix(1_800_000_000, 0)
 	if err := v.Apply([]platform.Change{row(t, "a", "a#1", 1)}, false, now); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		after     time.Duration // since the own row changed
-		awaySince time.Duration // before now; 0 for a table that is read
-		want      bool
+		after           time.Duration // since the row of the instance changed
+		unreadableSince time.Duration // time since the table became unreadable; 0 if it can be read
+		want            bool
 	}{{time.Second, 0, true}, {4 * time.Second, 0, false}, {time.Second, 2 * time.Second, true}, {time.Second, 4 * time.Second, false}} {
 		at := now.Add(c.after)
 		var away time.Time
-		if c.awaySince > 0 {
-			away = at.Add(-c.awaySince)
+		if c.unreadableSince > 0 {
+			away = at.Add(-c.unreadableSince)
 		}
 		if got := v.Current(at, away, "a"); got != c.want {
-			t.Errorf("%+v: current %v", c, got)
+			t.Errorf("%+v: Current = %v, want %v", c, got, c.want)
 		}
 	}
 }
--- a/pkg/membership/relayed.go
+++ b/pkg/membership/relayed.go
@@ -11,23 +11,22 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// RelayedMember is what an instance that reads the members' rows tells of a member to one that
-// does not. Who is told sees no renewals, and leaves it to the other to judge which
-// rows have stood for too long.
+// RelayedMember is a member as an instance that reads Table passes it on to one that does
+// not. The receiver sees no renewals, so the sender decides which rows are stale.
 type RelayedMember struct {
 	Member
 	StartID      string `json:"start"`
 	Advertisable bool   `json:"prompt,omitempty"`
-	// Stale means that the member is taken for gone; Version is that of its row then.
+	// Stale means that the member's row is stale; Version is the version of the row then.
 	Stale   bool   `json:"lapsed,omitempty"`
 	Version uint64 `json:"version,omitempty"`
 }
 
-// Encode returns t as a value that ApplyRelayed reads.
+// Encode returns t as a row value for ApplyRelayed.
 func (t RelayedMember) Encode() (json.RawMessage, error) { return json.Marshal(t) }
 
-// RelayedMembers returns what the view tells of all members at now, in no order, as seen by the
-// one named self.
+// RelayedMembers returns all members at now, in no order, as seen by the instance named
+// self.
 func (v *View) RelayedMembers(now time.Time, self string) []RelayedMember {
 	live := v.Roster(now, self)
 	out := make([]RelayedMember, 0, len(v.members))
@@ -41,7 +40,9 @@
 	return out
 }
 
-// ApplyRelayed takes what another instance told of members, at at.
+// ApplyRelayed applies changes of members that another instance passed on, received at
+// the time at; with reset set, they are all members. It returns an error that joins those
+// of malformed values, and leaves these members as they were known.
 func (v *View) ApplyRelayed(changes []platform.Change, reset bool, at time.Time) error {
 	if reset {
 		v.keepOnly(changes)
@@ -56,11 +57,11 @@
 		}
 		var t RelayedMember
 		if err := json.Unmarshal(ch.Value, &t); err != nil {
-			first = errors.Join(first, fmt.Errorf("membership: told of %s: %w", name, err))
+			first = errors.Join(first, fmt.Errorf("membership: decode relayed member %s: %w", name, err))
 			continue
 		}
 		t.Member.Name, t.Member.StartID, t.Member.Advertisable = name, t.StartID, t.Advertisable
-		v.set(name, &seen{Member: v.members[name].same(t.Member), told: true, lapsed: t.Stale, version: t.Version, ttl: forever, changedAt: at})
+		v.set(name, &record{Member: v.members[name].shared(t.Member), relayed: true, stale: t.Stale, version: t.Version, ttl: forever, changedAt: at})
 	}
 	return first
 }
--- a/pkg/membership/roster.go
+++ b/pkg/membership/roster.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Roster is the members that are live at one time. It does not change once it is
-// made, and the same Roster is given for as long as the same members are live with
-// the same rows' contents, so that what is derived from one can be kept with it:
-// among hundreds of members renewals come each few milliseconds, and changes rarely.
+// Roster is the set of members that are live at one time. It is immutable, and the same
+// Roster is returned as long as the same members are live with the same content, so that
+// values derived from it can be cached with it: among hundreds of members there is a
+// renewal every few milliseconds, but rarely a change.
 type Roster struct {
-	Members []*Member // in order of name; not to be changed
+	Members []*Member // sorted by name; must not be modified
 }
 
 // NewRoster returns the Roster of members.
@@ -21,13 +21,13 @@
 
 func byName(a, b *Member) int { return cmp.Compare(a.Name, b.Name) }
 
-// HasStartID reports whether the instance with the start given is live.
+// HasStartID reports whether the instance with the given start ID is live.
 func (r *Roster) HasStartID(start string) bool {
 	i, found := r.find(NameOf(start))
 	return found && r.Members[i].StartID == start
 }
 
-// Member returns the live member named name, if there is one.
+// Member returns the live member with the given name, if there is one.
 func (r *Roster) Member(name string) (*Member, bool) {
 	i, found := r.find(name)
 	if !found {
@@ -36,42 +36,43 @@
 	return r.Members[i], true
 }
 
-// has reports whether the member named name is live.
+// has reports whether the member with the given name is live.
 func (r *Roster) has(name string) bool {
 	_, found := r.find(name)
 	return found
 }
 
-// find returns where the member named name stands, or would.
+// find returns the index of the member with the given name, or the index at which to
+// insert it.
 func (r *Roster) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(r.Members, name, func(m *Member, name string) int { return cmp.Compare(m.Name, name) })
 }
 
-// Roster returns the members that are there at now, as seen by the one named self.
-// While its own row stands unchanged, or is not there, the others may be unable to
-// write theirs as well: the platform's store can serve a part of its tables only. No
-// member lapses in that time.
+// Roster returns the members that are live at now, as seen by the instance named self. No
+// member becomes stale while the row of self is unchanged or missing: the other members
+// may be unable to write their rows as well, as the platform's store can lose some of its
+// tables only.
 func (v *View) Roster(now time.Time, self string) *Roster {
 	own := v.members[self]
 	if own != nil {
-		if stood := own.changedAt.Add(own.ttl * 2 / 3); now.After(stood) {
-			now = stood
+		if limit := own.changedAt.Add(own.ttl * 2 / 3); now.After(limit) {
+			now = limit
 		}
 	}
-	holds := !v.changed && v.madeBy == self && !now.Before(v.madeFor) && (own == nil || now.Before(v.validUntil))
-	if holds {
+	valid := !v.changed && v.rosterSelf == self && !now.Before(v.rosterFrom) && (own == nil || now.Before(v.rosterUntil))
+	if valid {
 		return v.roster
 	}
-	v.changed, v.madeBy, v.madeFor, v.validUntil = false, self, now, now.Add(forever)
+	v.changed, v.rosterSelf, v.rosterFrom, v.rosterUntil = false, self, now, now.Add(forever)
 	live := make([]*Member, 0, len(v.members))
 	for _, name := range v.names {
 		s := v.members[name]
-		if s.lapsed || own != nil && !now.Before(s.lapsesAt()) {
+		if s.stale || own != nil && !now.Before(s.staleAt()) {
 			continue
 		}
 		live = append(live, s.Member)
-		if s.lapsesAt().Before(v.validUntil) {
-			v.validUntil = s.lapsesAt()
+		if s.staleAt().Before(v.rosterUntil) {
+			v.rosterUntil = s.staleAt()
 		}
 	}
 	if !slices.Equal(live, v.roster.Members) {
@@ -80,7 +81,7 @@
 	return v.roster
 }
 
-// forever is longer than any row may stand.
+// forever is longer than any TTL.
 const forever = 24 * time.Hour
 
 // Live returns the members of the Roster at now.
--- a/pkg/membership/roster_test.go
+++ b/pkg/membership/roster_test.go
@@ -16,15 +16,15 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m, 1000) }
 
-// Whatever happens to the rows, a view that keeps its roster tells the same members
-// as one that has seen the same and is asked for the first time.
-func TestKeptRosterTellsWhatANewOneWould(t *testing.T) {
+// Whatever happens to the rows, a view that reuses its roster returns the same members as
+// a new view with the same history.
+func TestReusedRosterEqualsNewOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, version := time.Unix(1_800_000_000, 0), uint64(0)
 		kept := membership.NewView()
-		var seen []func(*membership.View)
-		happen := func(f func(*membership.View)) {
-			seen = append(seen, f)
+		var events []func(*membership.View)
+		record := func(f func(*membership.View)) {
+			events = append(events, f)
 			f(kept)
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
@@ -32,34 +32,34 @@
 			at := now
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 			version++
-			switch rapid.SampledFrom([]string{"renew", "renew", "renew", "remove", "excuse", "read again", "nothing"}).Draw(t, "event") {
+			switch rapid.SampledFrom([]string{"renew", "renew", "renew", "remove", "outage", "full read", "nothing"}).Draw(t, "event") {
 			case "renew":
-				ch := drawnRow(t, name, version, now)
-				happen(func(v *membership.View) { apply(v, at, false, ch) })
+				ch := randomRow(t, name, version, now)
+				record(func(v *membership.View) { apply(v, at, false, ch) })
 			case "remove":
 				ch := platform.Change{Row: platform.Row{Key: membership.Key(name)}, Deleted: true}
-				happen(func(v *membership.View) { apply(v, at, false, ch) })
-			case "excuse":
+				record(func(v *membership.View) { apply(v, at, false, ch) })
+			case "outage":
 				since := now.Add(-2 * time.Second)
-				happen(func(v *membership.View) { v.ExtendAfterOutage(since, at) })
-			case "read again":
-				ch := drawnRow(t, name, version, now)
-				happen(func(v *membership.View) { apply(v, at, true, ch) })
+				record(func(v *membership.View) { v.ExtendAfterOutage(since, at) })
+			case "full read":
+				ch := randomRow(t, name, version, now)
+				record(func(v *membership.View) { apply(v, at, true, ch) })
 			}
 			fresh := membership.NewView()
-			for _, f := range seen {
+			for _, f := range events {
 				f(fresh)
 			}
 			self := rapid.SampledFrom([]string{"a", "a", "a", "new"}).Draw(t, "self")
 			got, want := values(kept.Live(now, self)), values(fresh.Live(now, self))
 			if got != want {
-				t.Fatalf("kept roster %s, a new one %s", got, want)
+				t.Fatalf("reused roster %s, want %s as in a new one", got, want)
 			}
 		}
 	})
 }
 
-// values tells the members themselves.
+// values formats the members' content, not their addresses.
 func values(ms []*membership.Member) string {
 	var out []membership.Member
 	for _, m := range ms {
@@ -74,9 +74,8 @@
 	}
 }
 
-// drawnRow returns the row of a member that may have started again, be draining, and
-// be renewed often or rarely.
-func drawnRow(t *rapid.T, name string, version uint64, now time.Time) platform.Change {
+// randomRow returns the row of a member with a random start, drain state and TTL.
+func randomRow(t *rapid.T, name string, version uint64, now time.Time) platform.Change {
 	data, err := json.Marshal(membership.Member{Address: name, Draining: rapid.Bool().Draw(t, "draining")})
 	if err != nil {
 		t.Fatal(err)
@@ -90,9 +89,9 @@
 	return platform.Change{Row: platform.Row{Key: membership.Key(name), Version: version, Value: value}}
 }
 
-// Renewals alone leave the roster as it is, so that what is derived from it is not
-// worked out again.
-func TestRenewalsKeepTheRoster(t *testing.T) {
+// Renewals leave the roster unchanged, so that what is derived from it is not computed
+// again.
+func TestRenewalsKeepRoster(t *testing.T) {
 	v, now := membership.NewView(), time.Unix(1_800_000_000, 0)
 	renew := func(version uint64) {
 		apply(v, now, false, row(t, "a", "a#1", version))
@@ -104,18 +103,18 @@
 		now = now.Add(400 * time.Millisecond)
 		renew(uint64(10 + 2*i))
 		if v.Roster(now, "a") != first {
-			t.Fatalf("another roster after %d renewals", i+1)
+			t.Fatalf("roster changed after %d renewals", i+1)
 		}
 	}
 	apply(v, now, false, row(t, "b", "b#2", 1000))
 	if v.Roster(now, "a") == first {
-		t.Fatal("the same roster after b has started again")
+		t.Fatal("roster unchanged after b has restarted")
 	}
 }
 
-// A new configuration, which all members tell of within their renewals, and another relay,
-// leave the roster as it is.
-func TestConfigurationsLeaveTheRoster(t *testing.T) {
+// A new configuration, which all members write into their next renewal, and another relay
+// leave the roster unchanged.
+func TestConfigurationsKeepRoster(t *testing.T) {
 	v, now := membership.NewView(), time.Unix(1_800_000_000, 0)
 	put := func(name string, configuration, version uint64) {
 		data, err := json.Marshal(membership.Member{Address: name + ":1", Configuration: configuration, WatchSource: fmt.Sprintf("relay%d", configuration)})
@@ -138,17 +137,18 @@
 	for i, name := range []string{"a", "b", "c"} {
 		put(name, 2, uint64(i+10))
 		if v.Roster(now, "a") != before {
-			t.Fatalf("another roster after %s has told the new configuration", name)
+			t.Fatalf("roster changed after %s wrote the new configuration", name)
 		}
 	}
 }
 
-// Whatever becomes of the rows, an instance that is told of the members by one that reads
-// them takes the same ones for live, also when it reads the rows itself again.
-func TestRelayedMembersAreThoseOfTheReader(t *testing.T) {
+// Whatever happens to the rows, an instance that is passed the members by one that reads
+// the table sees the same members as live. When it reads the table itself again, stale
+// members stay stale.
+func TestRelayedMembersEqualReaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, version := time.Unix(1_800_000_000, 0), uint64(0)
-		reader, told := membership.NewView(), membership.NewView()
+		reader, receiver := membership.NewView(), membership.NewView()
 		rows := map[string]platform.Change{}
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "after_ms")) * time.Millisecond)
@@ -156,7 +156,7 @@
 			version++
 			switch rapid.SampledFrom([]string{"renew", "renew", "renew", "remove", "nothing"}).Draw(t, "event") {
 			case "renew":
-				rows[name] = drawnRow(t, name, version, now)
+				rows[name] = randomRow(t, name, version, now)
 				apply(reader, now, false, rows[name])
 			case "remove":
 				delete(rows, name)
@@ -170,18 +170,19 @@
 				}
 				changes = append(changes, platform.Change{Row: platform.Row{Key: membership.Key(m.Name), Value: value}})
 			}
-			if err := told.ApplyRelayed(changes, true, now); err != nil {
+			if err := receiver.ApplyRelayed(changes, true, now); err != nil {
 				t.Fatal(err)
 			}
 			later := now.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "minutes")) * time.Minute)
-			if got, want := values(told.Live(later, "b")), values(reader.Live(now, "a")); got != want {
-				t.Fatalf("told of %s, the reader knows %s", got, want)
+			if got, want := values(receiver.Live(later, "b")), values(reader.Live(now, "a")); got != want {
+				t.Fatalf("receiver sees %s live, want %s as the reader", got, want)
 			}
-			if reader.Size() != told.Size() {
-				t.Fatalf("told of %d rows, the reader knows %d", told.Size(), reader.Size())
+			if reader.Size() != receiver.Size() {
+				t.Fatalf("receiver has %d rows, want %d as the reader", receiver.Size(), reader.Size())
 			}
 		}
-		// It reads the rows itself from now on: those that had lapsed stay so.
+		// From here on the receiver reads the table itself: stale members must stay
+		// stale.
 		lapsed := map[string]bool{}
 		for _, m := range reader.RelayedMembers(now, "a") {
 			lapsed[m.Name] = m.Stale
@@ -190,12 +191,12 @@
 		for _, r := range rows {
 			all = append(all, r)
 		}
-		if err := told.Apply(all, true, now); err != nil {
+		if err := receiver.Apply(all, true, now); err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range told.Live(now, "a") {
+		for _, m := range receiver.Live(now, "a") {
 			if _, there := rows["a"]; there && lapsed[m.Name] {
-				t.Fatalf("%s lives again", m.Name)
+				t.Fatalf("stale member %s became live again", m.Name)
 			}
 		}
 	})
