--- a/pkg/storepath/links.go
+++ b/pkg/storepath/links.go
@@ -10,55 +10,56 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// keepAlive is how often a session with a peer is probed; one that does not answer
-// for as long is closed. Sessions are open while an instance is cut off from the
-// store only, so that they cost nothing otherwise.
+// keepAlive is how often the session to a peer is probed; a session without an answer for
+// as long is closed. Sessions to peers are open only while an instance cannot reach the
+// store directly, so that they cost nothing otherwise.
 const keepAlive = 500 * time.Millisecond
 
-// acceptedKeepAlive is how often a session that a peer has opened is probed: peers find
-// out themselves that this instance is gone, and one that has gone is to be noticed only
-// some time.
+// acceptedKeepAlive is how often a session opened by a peer is probed. It may be long:
+// peers detect the failure of this instance themselves, and this instance only has to
+// clean up some time after the failure of a peer.
 const acceptedKeepAlive = 5 * time.Second
 
 // LinksConfig configures Links.
 type LinksConfig struct {
-	Listen string // IP:port where peers connect; empty for nowhere
+	Listen string // IP:port to accept peers on; empty to accept none
 	Direct platform.Store
-	Ping   func(ctx context.Context) error // as in Config
-	Go     func(func() error)              // as in Config
+	Ping   func(ctx context.Context) error // as in storepath.Config
+	Go     func(func() error)              // as in storepath.Config
 
-	OnCall   func(w AccessPath, err error)         // as in Config
-	OnChange func(from, to AccessPath, why string) // as in Config
+	OnCall   func(w AccessPath, err error)            // as in storepath.Config
+	OnChange func(from, to AccessPath, reason string) // as in storepath.Config
 }
 
-// Links are an instance's store, by whatever way reaches it, over links to its
-// peers, and what it does for those that cannot reach theirs. Call Listen, then
+// Links gives an instance access to the store, directly or through its peers, and gives
+// peers that cannot reach the store access through this instance. Call Listen, then
 // Serve.
 type Links struct {
 	*Store
 	cfg      LinksConfig
 	sessions *peer.Sessions
-	listener net.Listener // nil for nowhere
+	listener net.Listener // nil if no peers are accepted
 	peers    func() []string
 }
 
-// Listen returns Links that take the direct way and listen for peers.
+// Listen returns Links that use the direct path and listen for peers. It fails if it
+// cannot listen on cfg.Listen.
 func Listen(cfg LinksConfig) (*Links, error) {
 	cfg.Ping = (&sharedPing{ping: cfg.Ping}).Ping
 	l := &Links{cfg: cfg, sessions: peer.NewSessions(keepAlive), peers: func() []string { return nil }}
 	if cfg.Listen != "" {
 		var err error
 		if l.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
-			return nil, fmt.Errorf("listen %s: %w", cfg.Listen, err)
+			return nil, fmt.Errorf("listen for peers on %s: %w", cfg.Listen, err)
 		}
 	}
-	l.Store = New(Config{Direct: cfg.Direct, Ping: cfg.Ping, Go: cfg.Go, OnCall: cfg.OnCall, OnChange: l.changed,
+	l.Store = New(Config{Direct: cfg.Direct, Ping: cfg.Ping, Go: cfg.Go, OnCall: cfg.OnCall, OnChange: l.pathChanged,
 		Peers: func() []string { return l.peers() },
 		Peer:  func(address string) PeerStore { return &peer.StoreClient{Sessions: l.sessions, Address: address} }})
 	return l, nil
 }
 
-// Address returns where peers connect, empty for nowhere.
+// Address returns the address that peers are accepted on, empty if there is none.
 func (l *Links) Address() string {
 	if l.listener == nil {
 		return ""
@@ -66,10 +67,10 @@
 	return l.listener.Addr().String()
 }
 
-// changed tells of another way, and closes the sessions that are not needed by it.
-func (l *Links) changed(from, to AccessPath, why string) {
+// pathChanged calls OnChange and closes the sessions that the new path does not need.
+func (l *Links) pathChanged(from, to AccessPath, reason string) {
 	if l.cfg.OnChange != nil {
-		l.cfg.OnChange(from, to, why)
+		l.cfg.OnChange(from, to, reason)
 	}
 	l.cfg.Go(func() error {
 		l.sessions.CloseExcept(to.Peer)
@@ -77,9 +78,9 @@
 	})
 }
 
-// Serve looks after the way to the store, makes calls for peers and has watch answer
-// those who watch tables, until ctx ends. peers returns the addresses of the peers to
-// ask, as in Config.
+// Serve keeps the path to the store up to date, makes calls on behalf of peers, and
+// passes their watches of tables to watch, until ctx ends. peers returns the addresses of
+// the peers to ping, as storepath.Config.Peers.
 func (l *Links) Serve(ctx context.Context, peers func() []string, watch peer.WatchServer) {
 	l.peers = peers
 	l.cfg.Go(func() error { return l.Run(ctx) })
--- a/pkg/storepath/ping.go
+++ b/pkg/storepath/ping.go
@@ -9,48 +9,50 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// failureHolds is how long a failed ping answers for the next: as long as looks for a
-// way are apart while there is none.
-const failureHolds = lostPause
+// failureTTL is how long the error of a failed ping is returned to later requests: as
+// long as the time between two checks while the store is unreachable.
+const failureTTL = unreachablePause
 
-// sharedPing is the ping of the direct way for all who ask for it here: this instance,
-// and peers that look for a way. A failure holds for a while, and those who ask while a
-// ping is young share it, so that a store that refuses all instances is not called by
-// each of them for itself and for others: 160 calls a second of each, of 295 three
-// times as many as the store serves.
+// sharedPing shares pings of the direct path among all who request them here: this
+// instance, and peers that check their paths. A failure is reused for failureTTL, and
+// requests that arrive while a ping is young wait for it. Without this, each instance
+// would call a store that refuses them all for itself and on behalf of others: 160 calls
+// per second from each, which from 295 instances is three times as many as the store
+// serves.
 type sharedPing struct {
 	ping func(ctx context.Context) error
 
 	mu       sync.Mutex
-	last     *pingCall // begun last; nil for none
-	failure  error     // of the last that failed, if it holds still
+	last     *pingCall // started last; nil if it has ended
+	failure  error     // error of the last failed ping
 	failedAt time.Time
 }
 
-// pingCall is one ping. Its outcome is written before ended is closed.
+// pingCall is one ping. Its outcome is written before done is closed.
 type pingCall struct {
-	begun time.Time
-	ended chan struct{}
-	// givenUp means that the one who made the call left before its outcome.
-	givenUp bool
-	err     error
+	startedAt time.Time
+	done      chan struct{}
+	// cancelled means that the caller that made the ping left before it was answered, so
+	// that the outcome says nothing about the store.
+	cancelled bool
+	err       error
 }
 
-// shareUntil returns until when others wait for the ping rather than begin one: it
-// may hang where the next one is answered.
-func (c *pingCall) shareUntil() time.Time { return c.begun.Add(failureHolds) }
+// shareUntil returns until when others wait for this ping. After that they start another,
+// because this one may hang while the next one is answered.
+func (c *pingCall) shareUntil() time.Time { return c.startedAt.Add(failureTTL) }
 
-// Ping asks the store, unless it has just failed, or waits for a young ping that is
-// under way.
+// Ping pings the store, waits for a young ping in flight, or returns the error of a
+// recent one.
 func (p *sharedPing) Ping(ctx context.Context) error {
 	for {
-		c, own, err := p.begin(time.Now())
+		c, own, err := p.startPing(time.Now())
 		if err != nil {
 			return err
 		}
 		if own {
 			err := p.ping(ctx)
-			p.end(c, err, ctx.Err() != nil, time.Now())
+			p.endPing(c, err, ctx.Err() != nil, time.Now())
 			return err
 		}
 		if err, ok := c.wait(ctx); ok {
@@ -59,46 +61,46 @@
 	}
 }
 
-// wait waits for the outcome of another's ping. It reports false if the ping is to be
-// asked for again.
+// wait waits for the outcome of another caller's ping. It reports false if the ping must
+// be requested again.
 func (c *pingCall) wait(ctx context.Context) (error, bool) {
-	old := time.NewTimer(time.Until(c.shareUntil()))
-	defer old.Stop()
+	timer := time.NewTimer(time.Until(c.shareUntil()))
+	defer timer.Stop()
 	select {
-	case <-c.ended:
-		return c.err, !c.givenUp
-	case <-old.C:
+	case <-c.done:
+		return c.err, !c.cancelled
+	case <-timer.C:
 		return nil, false
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %w", platform.ErrUnavailable, ctx.Err()), true
 	}
 }
 
-// begin returns the ping to wait for, or the caller's own to make, or the failure
-// that holds at now.
-func (p *sharedPing) begin(now time.Time) (c *pingCall, own bool, err error) {
+// startPing returns the ping to wait for, or one for the caller to make, with own set, or
+// the error of a ping that failed recently.
+func (p *sharedPing) startPing(now time.Time) (c *pingCall, own bool, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.failure != nil && now.Sub(p.failedAt) < failureHolds {
+	if p.failure != nil && now.Sub(p.failedAt) < failureTTL {
 		return nil, false, p.failure
 	}
 	if p.last != nil && now.Before(p.last.shareUntil()) {
 		return p.last, false, nil
 	}
-	p.last = &pingCall{begun: now, ended: make(chan struct{})}
+	p.last = &pingCall{startedAt: now, done: make(chan struct{})}
 	return p.last, true, nil
 }
 
-// end takes the outcome of c. What is given up tells nothing of the store.
-func (p *sharedPing) end(c *pingCall, err error, givenUp bool, now time.Time) {
+// endPing records the outcome of c. A cancelled ping says nothing about the store.
+func (p *sharedPing) endPing(c *pingCall, err error, cancelled bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.err, c.givenUp = err, givenUp && err != nil
-	close(c.ended)
+	c.err, c.cancelled = err, cancelled && err != nil
+	close(c.done)
 	if p.last == c {
 		p.last = nil
 	}
-	if err != nil && !c.givenUp {
+	if err != nil && !c.cancelled {
 		p.failure, p.failedAt = err, now
 	}
 }
--- a/pkg/storepath/ping_test.go
+++ b/pkg/storepath/ping_test.go
@@ -15,12 +15,12 @@
 	"github.com/zinnialadder/zinnialadder/pkg/storepath"
 )
 
-// Peers that ask an instance for its way to the store all at once, while a ping takes
-// long and then fails, share that ping and its failure.
-func TestPingsThatOverlapAreShared(t *testing.T) {
+// Peers that ping the store through an instance all at once share one ping and its
+// failure.
+func TestOverlappingPingsShared(t *testing.T) {
 	const (
-		askers = 40
-		slow   = 80 * time.Millisecond
+		callers = 40
+		slow    = 80 * time.Millisecond
 	)
 	var pings atomic.Int64
 	refused := fmt.Errorf("%w: busy", platform.ErrNotApplied)
@@ -29,25 +29,25 @@
 		time.Sleep(slow)
 		return refused
 	})
-	var asked errgroup.Group
-	for range askers {
-		asked.Go(func() error {
+	var requests errgroup.Group
+	for range callers {
+		requests.Go(func() error {
 			if err := pingThrough(t, address, time.Second); !errors.Is(err, platform.ErrUnavailable) {
-				return fmt.Errorf("answered %v", err)
+				return fmt.Errorf("ping: %v, want ErrUnavailable", err)
 			}
 			return nil
 		})
 	}
-	if err := asked.Wait(); err != nil {
+	if err := requests.Wait(); err != nil {
 		t.Error(err)
 	}
 	if n := pings.Load(); n != 1 {
-		t.Errorf("%d pings for %d askers, want one", n, askers)
+		t.Errorf("%d pings for %d callers, want 1", n, callers)
 	}
 }
 
-// A ping that hangs is not waited for by those who come later.
-func TestPingThatHangsIsNotWaitedFor(t *testing.T) {
+// Later callers do not wait for a ping that hangs.
+func TestHangingPingNotShared(t *testing.T) {
 	var pings atomic.Int64
 	address := servePings(t, func(ctx context.Context) error {
 		if pings.Add(1) == 1 {
@@ -61,17 +61,18 @@
 	for pings.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	begun := time.Now()
+	start := time.Now()
 	if err := pingThrough(t, address, time.Second); err != nil {
-		t.Errorf("after %v: %v", time.Since(begun), err)
+		t.Errorf("ping after %v: %v, want success", time.Since(start), err)
 	}
 	if err := first.Wait(); err == nil {
-		t.Error("the ping that hung was answered")
+		t.Error("the hanging ping succeeded, want an error")
 	}
 }
 
-// A ping whose asker leaves is made again for those who wait for it.
-func TestPingThatIsGivenUpIsMadeAgain(t *testing.T) {
+// When the caller that made a ping leaves, the ping is made again for those that wait for
+// it.
+func TestCancelledPingRepeated(t *testing.T) {
 	var pings atomic.Int64
 	address := servePings(t, func(ctx context.Context) error {
 		if pings.Add(1) == 1 {
@@ -89,15 +90,15 @@
 		t.Error(err)
 	}
 	if err := first.Wait(); err == nil {
-		t.Error("the ping that was given up was answered")
+		t.Error("the cancelled ping succeeded, want an error")
 	}
 }
 
-// servePings serves pings to peers and returns where.
+// servePings serves pings to peers and returns the address.
 func servePings(t *testing.T, ping func(context.Context) error) string {
 	var group errgroup.Group
-	start := func(f func() error) { group.Go(f) }
-	links, err := storepath.Listen(storepath.LinksConfig{Listen: "127.0.0.1:0", Ping: ping, Go: start})
+	startGroup := func(f func() error) { group.Go(f) }
+	links, err := storepath.Listen(storepath.LinksConfig{Listen: "127.0.0.1:0", Ping: ping, Go: startGroup})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,12 +106,12 @@
 	links.Serve(ctx, func() []string { return nil }, nil)
 	t.Cleanup(func() {
 		cancel()
-		_ = group.Wait() // its functions end with ctx
+		_ = group.Wait() // its goroutines end with ctx and return nil
 	})
 	return links.Address()
 }
 
-// pingThrough asks the instance at address on a session of its own.
+// pingThrough pings the store through the instance at address, on a session of its own.
 func pingThrough(t *testing.T, address string, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
--- a/pkg/storepath/store.go
+++ b/pkg/storepath/store.go
@@ -10,56 +10,56 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// PeerStore is the store as a peer reaches it.
+// PeerStore is the store as reached through a peer.
 type PeerStore interface {
 	platform.Store
-	// Ping asks whether the peer reaches the store.
+	// Ping checks whether the peer reaches the store.
 	Ping(ctx context.Context) error
 }
 
 // Config configures a Store.
 type Config struct {
 	Direct platform.Store
-	// Ping asks the store for something small on a connection of its own, as open
-	// ones may have gone silent.
+	// Ping makes a small call to the store on a new connection, as open connections may
+	// have gone silent.
 	Ping func(ctx context.Context) error
-	// Peers returns the addresses of peers to ask, the ones to ask first first.
+	// Peers returns the addresses of peers, in the order in which to ping them.
 	Peers func() []string
-	// Peer returns the store as the peer at an address reaches it.
+	// Peer returns the store as reached through the peer at address.
 	Peer func(address string) PeerStore
 	// Go starts a goroutine of the instance's group.
 	Go func(func() error)
-	// OnCall is told of each call by its way, with its error; nil for nobody.
+	// OnCall is called after each call with its path and error; it may be nil.
 	OnCall func(w AccessPath, err error)
-	// OnChange is told when the way changes, and why; nil for nobody.
-	OnChange func(from, to AccessPath, why string)
+	// OnChange is called when the path changes, with the reason; it may be nil.
+	OnChange func(from, to AccessPath, reason string)
 }
 
-// Store is the platform's store by the way that reaches it. An outcome that is
-// unknown on the way is unknown to the caller; nothing is sent a second time.
-// Call New, then Run. It is safe for concurrent use.
+// Store gives access to the platform's store on the path that leads to it. An outcome
+// that is unknown on the path is unknown to the caller; calls are never retried. Call
+// New, then Run. It is safe for concurrent use.
 type Store struct {
-	cfg  Config
-	look chan string // asks for a look at the ways, and tells why
+	cfg           Config
+	checkRequests chan string // requests a check of the paths, with the reason
 
-	checking atomic.Bool // a look at the ways is under way beside Run
+	checking atomic.Bool // a check is running in a goroutine of its own
 
-	mu    sync.Mutex
-	path  Selector
-	calls map[*call]bool
-	lost  chan struct{} // closed while no way leads to the store
+	mu          sync.Mutex
+	selector    Selector
+	calls       map[*call]bool
+	unreachable chan struct{} // closed while the store is unreachable
 }
 
 var _ platform.Store = (*Store)(nil)
 
-// call is a call under way.
+// call is a call in flight.
 type call struct {
-	way    AccessPath
-	begun  time.Time
-	cancel context.CancelFunc
+	path      AccessPath
+	startedAt time.Time
+	cancel    context.CancelFunc
 }
 
-// New returns a Store that takes the direct way.
+// New returns a Store that uses the direct path.
 func New(cfg Config) *Store {
 	if cfg.OnCall == nil {
 		cfg.OnCall = func(AccessPath, error) {}
@@ -67,21 +67,21 @@
 	if cfg.OnChange == nil {
 		cfg.OnChange = func(AccessPath, AccessPath, string) {}
 	}
-	return &Store{cfg: cfg, look: make(chan string, 1), calls: map[*call]bool{}, lost: make(chan struct{})}
+	return &Store{cfg: cfg, checkRequests: make(chan string, 1), calls: map[*call]bool{}, unreachable: make(chan struct{})}
 }
 
-// Lost reports whether no way leads to the store.
+// Unreachable reports whether no path leads to the store.
 func (s *Store) Unreachable() bool { return s.Path().Kind == Unreachable }
 
-// WhileReachable returns a context that ends when no way leads to the store.
+// WhileReachable returns a context that ends when the store becomes unreachable.
 func (s *Store) WhileReachable(ctx context.Context) (context.Context, context.CancelFunc) {
 	s.mu.Lock()
-	lost := s.lost
+	unreachable := s.unreachable
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	s.cfg.Go(func() error {
 		select {
-		case <-lost:
+		case <-unreachable:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -90,108 +90,110 @@
 	return ctx, cancel
 }
 
-// changed takes up another way than from. s.mu is held.
-func (s *Store) changed(from AccessPath) {
+// updateUnreachable closes or renews s.unreachable after the path has changed from from.
+// s.mu is held.
+func (s *Store) updateUnreachable(from AccessPath) {
 	switch {
-	case s.path.Path().Kind == Unreachable:
-		close(s.lost)
+	case s.selector.Path().Kind == Unreachable:
+		close(s.unreachable)
 	case from.Kind == Unreachable:
-		s.lost = make(chan struct{})
+		s.unreachable = make(chan struct{})
 	}
 }
 
-// Path returns the way that calls take now.
+// Path returns the path that calls use now.
 func (s *Store) Path() AccessPath {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.path.Path()
+	return s.selector.Path()
 }
 
-// begin registers a call and returns the store by its way. Overdue is looked at
-// when the store has held the call for wait and given no answer after it.
-func (s *Store) begin(ctx context.Context, wait time.Duration) (context.Context, *call, platform.Store, func() bool) {
+// startCall registers a call and returns its context, the call, the store as reached on
+// its path, and a function that stops the timer for a late answer. wait is how long the
+// store may hold the call; AnswerTimeout begins after it.
+func (s *Store) startCall(ctx context.Context, wait time.Duration) (context.Context, *call, platform.Store, func() bool) {
 	ctx, cancel := context.WithCancel(ctx)
-	c := &call{begun: time.Now(), cancel: cancel}
+	c := &call{startedAt: time.Now(), cancel: cancel}
 	s.mu.Lock()
-	c.way = s.path.Path()
+	c.path = s.selector.Path()
 	s.calls[c] = true
 	s.mu.Unlock()
 	timer := time.AfterFunc(wait+AnswerTimeout, func() {
 		s.mu.Lock()
-		look := s.path.Overdue(c.way, c.begun.Add(wait), time.Now())
+		due := s.selector.Overdue(c.path, c.startedAt.Add(wait), time.Now())
 		s.mu.Unlock()
-		if look {
-			s.askLook("no answer")
+		if due {
+			s.requestCheck("no answer")
 		}
 	})
 	store := s.cfg.Direct
-	if c.way.Kind == ThroughPeer {
-		store = s.cfg.Peer(c.way.Peer)
+	if c.path.Kind == ThroughPeer {
+		store = s.cfg.Peer(c.path.Peer)
 	}
 	return ctx, c, store, timer.Stop
 }
 
-// end takes the outcome of a call whose caller waited with ctx.
-func (s *Store) end(ctx context.Context, c *call, err error) {
+// endCall records the outcome of a call whose caller waited with ctx.
+func (s *Store) endCall(ctx context.Context, c *call, err error) {
 	c.cancel()
 	s.mu.Lock()
 	delete(s.calls, c)
 	s.mu.Unlock()
-	s.cfg.OnCall(c.way, err)
+	s.cfg.OnCall(c.path, err)
 	if !errors.Is(err, platform.ErrUnavailable) {
-		s.answered(c.way, "answered")
+		s.answered(c.path, "answered")
 		return
 	}
 	if ctx.Err() != nil {
-		return // its caller gave it up
+		return // the caller cancelled it
 	}
 	s.mu.Lock()
-	look := s.path.Failed(c.way, time.Now())
+	due := s.selector.Failed(c.path, time.Now())
 	s.mu.Unlock()
-	if look {
-		s.askLook(err.Error())
+	if due {
+		s.requestCheck(err.Error())
 	}
 }
 
-// answered tells that the store was answered by way w.
-func (s *Store) answered(w AccessPath, why string) {
+// answered records that a call or ping on path w was answered.
+func (s *Store) answered(w AccessPath, reason string) {
 	now := time.Now()
 	s.mu.Lock()
-	changed := s.path.Answered(w, now)
+	changed := s.selector.Answered(w, now)
 	if changed {
-		s.changed(w)
-		s.giveUp(w, now.Add(-AnswerTimeout))
+		s.updateUnreachable(w)
+		s.cancelCalls(w, now.Add(-AnswerTimeout))
 	}
 	s.mu.Unlock()
 	if changed {
-		s.cfg.OnChange(w, AccessPath{}, why)
+		s.cfg.OnChange(w, AccessPath{}, reason)
 	}
 }
 
-// giveUp ends the calls by way w that were begun before a time: they would wait in
-// vain. s.mu is held.
-func (s *Store) giveUp(w AccessPath, before time.Time) {
+// cancelCalls cancels the calls on path w that started before the given time, as they
+// would wait for an answer that does not come. s.mu is held.
+func (s *Store) cancelCalls(w AccessPath, before time.Time) {
 	for c := range s.calls {
-		if c.way == w && c.begun.Before(before) {
+		if c.path == w && c.startedAt.Before(before) {
 			c.cancel()
 		}
 	}
 }
 
-// askLook has Run look at the ways.
-func (s *Store) askLook(why string) {
+// requestCheck makes Run check the paths.
+func (s *Store) requestCheck(reason string) {
 	select {
-	case s.look <- why:
-	default: // it is asked already
+	case s.checkRequests <- reason:
+	default: // a check is requested already
 	}
 }
 
-// do makes one call of the store, which may hold it for wait.
+// do makes one call to the store, which may hold it for wait before it answers.
 func do[T any](ctx context.Context, s *Store, wait time.Duration, f func(context.Context, platform.Store) (T, error)) (T, error) {
-	cctx, c, store, stop := s.begin(ctx, wait)
+	cctx, c, store, stop := s.startCall(ctx, wait)
 	v, err := f(cctx, store)
 	stop()
-	s.end(ctx, c, err)
+	s.endCall(ctx, c, err)
 	return v, err
 }
 
--- a/pkg/storepath/store_test.go
+++ b/pkg/storepath/store_test.go
@@ -12,10 +12,10 @@
 	"github.com/zinnialadder/zinnialadder/pkg/storepath"
 )
 
-// silentStore is a store that answers at once, or not at all while it is silent:
-// also not later what it was asked meanwhile.
+// silentStore is a store that answers at once, or, while it is silent, never: calls made
+// while it is silent hang until their context ends.
 type silentStore struct {
-	platform.Store // calls that the tests do not make
+	platform.Store // methods that are not used
 	silent         atomic.Bool
 }
 
@@ -50,7 +50,7 @@
 	g.Go(func() error { return s.Run(ctx) })
 	t.Cleanup(func() {
 		cancel()
-		_ = g.Wait() // its functions return nil
+		_ = g.Wait() // its goroutines return nil
 	})
 	return s
 }
@@ -59,14 +59,14 @@
 	t.Helper()
 	for end := time.Now().Add(limit); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", limit, what)
+			t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 	}
 }
 
-// An instance that the store falls silent for goes on through a peer, also with the
-// call that hangs; when that peer is paused it takes another, and the direct way
-// when the store is back.
+// When the store falls silent for an instance, calls go on through a peer, including the
+// call that hangs. When that peer falls silent, they go through another, and back to the
+// direct path when the store answers again.
 func TestSilentStore(t *testing.T) {
 	direct := &silentStore{}
 	peers := map[string]*silentStore{"p1": {}, "p2": {}}
@@ -76,35 +76,35 @@
 		return err == nil
 	}
 	if !get() {
-		t.Fatal("the store is there and does not answer")
+		t.Fatal("Get on the direct path failed, want success")
 	}
 	direct.silent.Store(true)
-	begun := time.Now()
+	start := time.Now()
 	within(t, 2*time.Second, "an answer through a peer", get)
-	if took := time.Since(begun); took > time.Second {
-		t.Errorf("an answer through a peer after %v", took)
+	if took := time.Since(start); took > time.Second {
+		t.Errorf("answer through a peer after %v, want at most 1 s", took)
 	}
 	peers[s.Path().Peer].silent.Store(true)
 	before := s.Path()
 	within(t, 2*time.Second, "an answer through the other peer", func() bool { return get() && s.Path() != before })
 	direct.silent.Store(false)
-	within(t, 3*time.Second, "the direct way", func() bool { return s.Path() == storepath.AccessPath{} })
+	within(t, 3*time.Second, "the direct path", func() bool { return s.Path() == storepath.AccessPath{} })
 }
 
-// While the store is away for all, callers that wait are let go, and it is taken
-// again soon after it is back, though what it was asked meanwhile hangs: whenever it
-// comes back between two looks for it.
-func TestLostStoreIsFoundSoon(t *testing.T) {
-	for away := 500 * time.Millisecond; away <= time.Second; away += 100 * time.Millisecond {
-		t.Run(away.String(), func(t *testing.T) {
+// While the store is unreachable, waiting callers are released. It is used again within
+// 0.35 s of its return, whenever that is between two checks, though calls made meanwhile
+// hang.
+func TestStoreReturns(t *testing.T) {
+	for outage := 500 * time.Millisecond; outage <= time.Second; outage += 100 * time.Millisecond {
+		t.Run(outage.String(), func(t *testing.T) {
 			t.Parallel()
-			foundAgain(t, away)
+			testStoreReturns(t, outage)
 		})
 	}
 }
 
-// foundAgain has the store away for so long after its loss was noticed.
-func foundAgain(t *testing.T, away time.Duration) {
+// testStoreReturns makes the store silent until outage after its loss was noticed.
+func testStoreReturns(t *testing.T, outage time.Duration) {
 	direct := &silentStore{}
 	s := newStore(t, direct, nil)
 	direct.silent.Store(true)
@@ -115,14 +115,14 @@
 		_, err := s.Get(waiting, "hangs")
 		return err
 	})
-	defer func() { _ = g.Wait() }() // it is given up with the others
-	within(t, 2*time.Second, "the loss is noticed", s.Unreachable)
-	within(t, time.Second, "who waits is let go", func() bool { return waiting.Err() != nil })
-	time.Sleep(away)
+	defer func() { _ = g.Wait() }() // it is cancelled with the other calls
+	within(t, 2*time.Second, "the store is found unreachable", s.Unreachable)
+	within(t, time.Second, "the waiting caller is released", func() bool { return waiting.Err() != nil })
+	time.Sleep(outage)
 	direct.silent.Store(false)
-	begun := time.Now()
-	within(t, 2*time.Second, "the store is taken again", func() bool { return !s.Unreachable() })
-	if took := time.Since(begun); took > 350*time.Millisecond {
-		t.Errorf("taken again after %v", took)
+	start := time.Now()
+	within(t, 2*time.Second, "the store is used again", func() bool { return !s.Unreachable() })
+	if took := time.Since(start); took > 350*time.Millisecond {
+		t.Errorf("store used again after %v, want at most 350 ms", took)
 	}
 }
