--- a/pkg/peer/hints.go
+++ b/pkg/peer/hints.go
@@ -13,40 +13,40 @@
 	"github.com/zinnialadder/zinnialadder/internal/peerpb"
 )
 
-// HintsConfig configures Links.
+// HintsConfig configures Hints.
 type HintsConfig struct {
-	Listener  net.Listener // where peers connect; nil to listen on Listen
-	Listen    string       // IP:port; empty, with no Listener, to carry no hints
+	Listener  net.Listener // accepts peers' sessions; nil to listen on Listen
+	Listen    string       // IP:port; if empty and Listener is nil, hints are neither sent nor received
 	KeepAlive time.Duration
 	Go        func(func() error) // starts a goroutine of the instance's group
-	Targets   func() []string    // addresses of the peers that hints are sent to
+	Targets   func() []string    // addresses of the peers to send hints to
 	Receive   func(context.Context, *peerpb.Hint)
 }
 
-// Hints are an instance's links to its peers that carry hints. A hint only makes
-// its receiver look sooner; one that is lost costs at most a period. Call New, then
+// Hints sends hints to peers and receives theirs. A hint only makes its receiver check
+// for changes earlier; a lost one costs at most one polling period. Call NewHints, then
 // Serve.
 type Hints struct {
 	cfg      HintsConfig
-	out      chan *peerpb.Hint // latest hint to send; older ones are replaced
+	out      chan *peerpb.Hint // latest hint to send; a newer one replaces it
 	sessions *Sessions
 
 	mu      sync.Mutex
-	streams map[string]hintStream // by the peer's address
+	streams map[string]hintStream // by address of the peer
 }
 
-// hintStream is the stream for hints of one session.
+// hintStream is the stream that carries hints in one session.
 type hintStream struct {
 	session *yamux.Session
 	net.Conn
 }
 
-// NewHints returns Links that carry nothing yet.
+// NewHints returns Hints. Nothing is sent or received before Serve.
 func NewHints(cfg HintsConfig) *Hints {
 	return &Hints{cfg: cfg, out: make(chan *peerpb.Hint, 1), sessions: NewSessions(cfg.KeepAlive), streams: map[string]hintStream{}}
 }
 
-// Broadcast queues h for every peer and does not block.
+// Broadcast queues h for all targets and does not block.
 func (p *Hints) Broadcast(h *peerpb.Hint) {
 	for {
 		select {
@@ -55,14 +55,15 @@
 		default:
 		}
 		select {
-		case old := <-p.out: // not sent yet: the new hint says that too
+		case old := <-p.out: // not sent yet: merge it into the new hint
 			h.Steps = h.Steps || old.Steps
 		default:
 		}
 	}
 }
 
-// Serve accepts peers' sessions and sends queued hints until ctx ends.
+// Serve accepts peers' sessions and sends queued hints until ctx ends. It fails if it
+// cannot listen.
 func (p *Hints) Serve(ctx context.Context) error {
 	ln := p.cfg.Listener
 	if ln == nil && p.cfg.Listen == "" {
@@ -88,7 +89,7 @@
 	}
 }
 
-// receive reads the hints of one stream.
+// receive passes the hints of one stream to Receive.
 func (p *Hints) receive(ctx context.Context, stream net.Conn) {
 	r := protodelim.UnmarshalOptions{MaxSize: maxHint}
 	br := newByteReader(stream)
@@ -101,13 +102,14 @@
 	}
 }
 
-// maxHint bounds a hint, in bytes; one is less than a hundred.
+// maxHint is the maximum size of a hint in bytes; actual hints are smaller than 100
+// bytes.
 const maxHint = 4096
 
-// Fingers returns the members that the one at index self sends hints to: those
-// 1, 2, 4, ... places after it. Each member that learns something new from a hint
-// sends its own, so a hint reaches all of n members in at most log2(n) steps over
-// log2(n) links a member.
+// Fingers returns the members that the one at index self sends hints to: those 1, 2, 4,
+// ... places after it, as in the finger tables of Chord. Each member that learns
+// something new from a hint sends its own, so a hint reaches all of n members in at most
+// log2(n) steps over log2(n) links per member.
 func Fingers[T any](members []T, self int) []T {
 	var out []T
 	for step := 1; step < len(members); step *= 2 {
@@ -116,8 +118,8 @@
 	return out
 }
 
-// broadcast sends h to the targets, all at once, so that peers that
-// cannot be reached do not hold up the others.
+// broadcast sends h to all targets concurrently, so that unreachable peers do not delay
+// the others.
 func (p *Hints) broadcast(ctx context.Context, h *peerpb.Hint) {
 	var sends errgroup.Group
 	for _, addr := range p.cfg.Targets() {
@@ -141,8 +143,8 @@
 	return err
 }
 
-// stream returns the stream for hints to the peer at addr. One broadcast runs at a
-// time, so no two calls are for the same peer.
+// stream returns the hint stream to the peer at addr. Only one broadcast runs at a time,
+// so no two calls are for the same peer.
 func (p *Hints) stream(ctx context.Context, addr string) (net.Conn, error) {
 	session, err := p.sessions.Open(ctx, addr)
 	if err != nil {
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer speaks to other instances of the system: yamux sessions over TCP,
-// whose streams carry length-delimited protobuf messages. Links carry hints; a
-// StoreClient makes calls of the platform's store through a peer, and a
-// StoreServer makes them for one.
+// Package peer connects instances of the system with yamux sessions over TCP, whose
+// streams carry length-delimited protobuf messages. Hints carries hints, a StoreClient
+// makes calls to the platform's store through a peer, a StoreServer makes them on behalf
+// of peers, and a Link carries watches of tables.
 package peer
 
 import (
@@ -15,12 +15,13 @@
 	"github.com/hashicorp/yamux"
 )
 
-// dialTimeout bounds the dial of a peer: a way there and back takes
-// milliseconds, and one that cannot be reached answers nothing.
+// dialTimeout bounds dialing a peer: a round trip takes milliseconds, and an unreachable
+// peer does not answer at all.
 const dialTimeout = time.Second
 
-// yamuxConfig finds and closes a session that has gone silent within two of its
-// keepalives. With 0 there are none: who uses the session finds out.
+// yamuxConfig returns the configuration of a session that is closed within two keepalive
+// periods after its peer has gone silent. With a keepAlive of 0 there are no keepalives,
+// and the user of the session must detect failures.
 func yamuxConfig(keepAlive time.Duration) *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.LogOutput = io.Discard
@@ -33,29 +34,30 @@
 	return c
 }
 
-// Sessions are the sessions that an instance has opened to its peers, one to
-// each. It is safe for concurrent use.
+// Sessions holds the sessions that an instance has opened, one per peer. It is safe for
+// concurrent use.
 type Sessions struct {
 	keepAlive time.Duration
 
 	mu     sync.Mutex
-	peers  map[string]*peerSession // by address
+	peers  map[string]*peerSession // by address of the peer
 	closed bool
 }
 
 type peerSession struct {
-	mu      sync.Mutex // held while the peer is dialed
+	mu      sync.Mutex // held while dialing
 	session *yamux.Session
 }
 
-// NewSessions returns Sessions without one.
+// NewSessions returns Sessions without open sessions.
 func NewSessions(keepAlive time.Duration) *Sessions {
 	return &Sessions{keepAlive: keepAlive, peers: map[string]*peerSession{}}
 }
 
 var errClosed = errors.New("peer: sessions are closed")
 
-// Open returns the session to the peer at addr, made anew if there is none.
+// Open returns the session to the peer at addr and dials the peer if there is none. It
+// fails if dialing fails or s is closed.
 func (s *Sessions) Open(ctx context.Context, addr string) (*yamux.Session, error) {
 	s.mu.Lock()
 	if s.closed {
@@ -95,7 +97,7 @@
 	return session, nil
 }
 
-// Drop closes the session to the peer at addr.
+// Drop closes the session to the peer at addr, if there is one.
 func (s *Sessions) Drop(addr string) {
 	s.mu.Lock()
 	p := s.peers[addr]
@@ -120,7 +122,7 @@
 	}
 }
 
-// Close closes all sessions for good.
+// Close closes all sessions and makes Open fail from then on.
 func (s *Sessions) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -139,8 +141,8 @@
 	}
 }
 
-// Accept accepts sessions on ln and has serve serve each of their streams, until
-// ctx ends. start starts a goroutine of the instance's group.
+// Accept accepts sessions on ln and calls serve for each of their streams, until ctx ends
+// or ln fails. start starts a goroutine of the instance's group.
 func Accept(ctx context.Context, ln net.Listener, keepAlive time.Duration, start func(func() error), serve func(context.Context, net.Conn)) error {
 	for {
 		conn, err := ln.Accept()
@@ -161,7 +163,7 @@
 			for {
 				stream, err := session.Accept()
 				if err != nil {
-					return nil // the session ended
+					return nil // the session has ended
 				}
 				start(func() error {
 					defer stream.Close()
@@ -173,8 +175,8 @@
 	}
 }
 
-// byteReader adds ReadByte to a stream, as protodelim needs, reading one
-// byte at a time so that nothing is buffered past a message.
+// byteReader adds ReadByte to a stream, as protodelim needs it. It reads one byte at a
+// time so that nothing is buffered past a message.
 type byteReader struct {
 	io.Reader
 	b [1]byte
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -12,8 +12,7 @@
 	"github.com/zinnialadder/zinnialadder/pkg/peer"
 )
 
-// A hint reaches the targets, also after one that could not be reached is there
-// again; those that are away hold up no other.
+// Hints reach the reachable target; a target that cannot be reached does not delay them.
 func TestHintReachesTargets(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
@@ -40,16 +39,17 @@
 		select {
 		case h := <-got:
 			if h.CatalogueRevision != revision {
-				t.Fatalf("revision %d, want %d", h.CatalogueRevision, revision)
+				t.Fatalf("catalogue revision %d, want %d", h.CatalogueRevision, revision)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("no hint")
+			t.Fatal("no hint received within 5 s")
 		}
 	}
 }
 
-// Every member is reached in at most log2(n) steps.
-func TestFingersReachAll(t *testing.T) {
+// A hint reaches every member in at most 10 steps, enough for log2(n) steps with 370
+// members.
+func TestFingersReachAllMembers(t *testing.T) {
 	for _, n := range []int{1, 2, 11, 84, 370} {
 		members := make([]int, n)
 		for i := range members {
@@ -65,7 +65,7 @@
 			}
 		}
 		if limit := 10; steps > limit {
-			t.Errorf("%d members took %d steps", n, steps)
+			t.Errorf("hint to %d members took %d steps, want at most 10", n, steps)
 		}
 	}
 }
--- a/pkg/peer/storecall.go
+++ b/pkg/peer/storecall.go
@@ -9,11 +9,11 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// maxMessage bounds a call or an answer, in bytes: the store takes objects of up
-// to 8 MB and answers at most 1 MB of rows.
+// maxMessage is the maximum size of a call or an answer in bytes: the store accepts
+// objects of up to 8 MB and answers at most 1 MB of rows.
 const maxMessage = 9 << 20
 
-// callOps returns a transaction as it is sent.
+// callOps encodes a transaction.
 func callOps(ops []platform.Op) []*peerpb.Op {
 	out := make([]*peerpb.Op, len(ops))
 	for i, op := range ops {
@@ -22,7 +22,7 @@
 	return out
 }
 
-// opsOf returns the transaction that c asks for.
+// opsOf decodes the transaction of c.
 func opsOf(c *peerpb.Commit) []platform.Op {
 	out := make([]platform.Op, len(c.GetOps()))
 	for i, op := range c.GetOps() {
@@ -55,8 +55,8 @@
 	return out
 }
 
-// failed returns the answer that tells err, which is not nil.
-func failed(err error) *peerpb.StoreAnswer {
+// errorAnswer encodes err, which is not nil, as an answer.
+func errorAnswer(err error) *peerpb.StoreAnswer {
 	a := &peerpb.StoreAnswer{Outcome: peerpb.StoreAnswer_REFUSED, Error: err.Error()}
 	var conflict *platform.ConflictError
 	switch {
@@ -76,7 +76,7 @@
 	return a
 }
 
-// errOf returns the error that a tells, nil for a call that was carried out.
+// errOf returns the error in a, nil for a call that succeeded.
 func errOf(a *peerpb.StoreAnswer) error {
 	switch a.GetOutcome() {
 	case peerpb.StoreAnswer_DONE:
@@ -91,14 +91,14 @@
 	case peerpb.StoreAnswer_HISTORY_GONE:
 		return platform.ErrHistoryGone
 	case peerpb.StoreAnswer_NOT_DONE:
-		return fmt.Errorf("%w: by a peer: %s", platform.ErrNotApplied, a.GetError())
+		return fmt.Errorf("%w: through a peer: %s", platform.ErrNotApplied, a.GetError())
 	case peerpb.StoreAnswer_REFUSED:
-		return fmt.Errorf("platform: refused: by a peer: %s", a.GetError())
+		return fmt.Errorf("platform: refused: through a peer: %s", a.GetError())
 	}
-	return fmt.Errorf("%w: by a peer: %s", platform.ErrUnavailable, a.GetError())
+	return fmt.Errorf("%w: through a peer: %s", platform.ErrUnavailable, a.GetError())
 }
 
-// waitOf returns how long the store may hold a call.
+// waitOf returns how long the store may hold a call before it answers.
 func waitOf(c *peerpb.StoreCall) time.Duration {
 	return time.Duration(c.GetChanges().GetWaitMs()) * time.Millisecond
 }
--- a/pkg/peer/storeclient.go
+++ b/pkg/peer/storeclient.go
@@ -12,21 +12,21 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// relayTimeout bounds a call beyond the time that the store may hold it: the peer
-// gives its own call up after at most 2.5 s, that of an object.
-const relayTimeout = 2800 * time.Millisecond
+// callTimeout bounds a call in addition to the time that the store may hold it. It is
+// longer than the peer's own longest timeout, the 2.5 s of a call for an object.
+const callTimeout = 2800 * time.Millisecond
 
-// StoreClient is the platform's store as a peer reaches it. A call whose answer
-// does not come back from the peer may have been carried out. It is safe for
+// StoreClient is the platform's store as reached through a peer. If the answer of a call
+// does not arrive from the peer, the call may have been carried out. It is safe for
 // concurrent use.
 type StoreClient struct {
 	Sessions *Sessions
-	Address  string // of the peer
+	Address  string // address of the peer
 }
 
 var _ platform.Store = (*StoreClient)(nil)
 
-// Ping asks whether the peer reaches the store.
+// Ping checks whether the peer reaches the store.
 func (c *StoreClient) Ping(ctx context.Context) error {
 	_, err := c.call(ctx, &peerpb.StoreCall{Call: &peerpb.StoreCall_Ping{Ping: &peerpb.Ping{}}})
 	return err
@@ -39,7 +39,7 @@
 		return platform.Row{}, err
 	}
 	if len(a.GetRows()) != 1 {
-		return platform.Row{}, fmt.Errorf("%w: a peer answered %d rows for one", platform.ErrUnavailable, len(a.GetRows()))
+		return platform.Row{}, fmt.Errorf("%w: peer answered %d rows to a get, want 1", platform.ErrUnavailable, len(a.GetRows()))
 	}
 	return rowOf(a.GetRows()[0]), nil
 }
@@ -52,7 +52,7 @@
 	}
 	rows := rowsOf(a)
 	if len(rows) != len(ops) {
-		return nil, fmt.Errorf("%w: a peer answered %d rows for %d", platform.ErrUnavailable, len(rows), len(ops))
+		return nil, fmt.Errorf("%w: peer answered %d rows to a commit of %d", platform.ErrUnavailable, len(rows), len(ops))
 	}
 	return rows, nil
 }
@@ -97,7 +97,9 @@
 	return err
 }
 
-// call sends one call and reads its answer.
+// call sends one call and reads its answer. It fails with platform.ErrNotApplied if the
+// call was not sent, with platform.ErrUnavailable if the outcome is unknown, and otherwise
+// with the error in the answer.
 func (c *StoreClient) call(ctx context.Context, call *peerpb.StoreCall) (*peerpb.StoreAnswer, error) {
 	session, err := c.Sessions.Open(ctx, c.Address)
 	if err != nil {
@@ -118,7 +120,7 @@
 }
 
 func exchange(stream net.Conn, call *peerpb.StoreCall) (*peerpb.StoreAnswer, error) {
-	if err := stream.SetDeadline(time.Now().Add(waitOf(call) + relayTimeout)); err != nil {
+	if err := stream.SetDeadline(time.Now().Add(waitOf(call) + callTimeout)); err != nil {
 		return nil, err
 	}
 	if _, err := protodelim.MarshalTo(stream, call); err != nil {
--- a/pkg/peer/storeserver.go
+++ b/pkg/peer/storeserver.go
@@ -13,67 +13,68 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// maxRelayed bounds the calls under way for peers: each instance that is cut off
-// has about five, four of which wait for changes of a table.
-const maxRelayed = 64
+// maxCalls bounds the calls in flight for peers: each instance that is cut off from the
+// store has about five, four of which wait for changes of a table.
+const maxCalls = 64
 
-// StoreServer makes calls of the platform's store for peers that cannot reach it.
-// Peers are not authenticated: the store itself is open to every machine of the
-// site's network, so that a peer is given nothing that it could not ask for.
+// StoreServer makes calls to the platform's store on behalf of peers that cannot reach
+// it. Peers are not authenticated: the store itself is open to every machine in the
+// site's network, so a peer gains no access that it does not have already.
 type StoreServer struct {
-	store platform.Store              // as reached directly: calls are passed on once
-	ping  func(context.Context) error // whether it is
+	store platform.Store              // reached directly, so that calls are passed on only once
+	ping  func(context.Context) error // checks whether the store is reachable
 	start func(func() error)
-	room  chan struct{}
-	watch WatchServer // nil for none
+	slots chan struct{}
+	watch WatchServer // nil to reject watches
 }
 
-// NewStoreServer returns a StoreServer for store as this instance reaches it
-// itself. watch answers those who watch tables, nil for nobody. start starts a goroutine of the instance's group.
+// NewStoreServer returns a StoreServer for store, as this instance reaches it directly.
+// watch serves watches of tables; nil rejects them. start starts a goroutine of the
+// instance's group.
 func NewStoreServer(store platform.Store, ping func(context.Context) error, watch WatchServer, start func(func() error)) *StoreServer {
-	return &StoreServer{store: store, ping: ping, watch: watch, start: start, room: make(chan struct{}, maxRelayed)}
+	return &StoreServer{store: store, ping: ping, watch: watch, start: start, slots: make(chan struct{}, maxCalls)}
 }
 
-// Serve serves the one call of a stream. A caller that closes the stream takes its
-// call back.
+// Serve serves the single call of a stream. The call is cancelled when the caller closes
+// the stream.
 func (s *StoreServer) Serve(ctx context.Context, stream net.Conn) {
 	call := &peerpb.StoreCall{}
 	if err := (protodelim.UnmarshalOptions{MaxSize: maxMessage}).UnmarshalFrom(newByteReader(stream), call); err != nil {
-		return // nobody waits for an answer
+		return // the call was not received in full, so no caller waits for an answer
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.start(func() error {
 		defer cancel()
-		_, _ = io.Copy(io.Discard, stream) // until it is closed at either end
+		_, _ = io.Copy(io.Discard, stream) // until either end closes the stream
 		return nil
 	})
 	if w := call.GetWatch(); w != nil && s.watch != nil {
 		serveWatch(ctx, s.watch, w, stream)
 		return
 	}
-	// An answer that cannot be written is one that nobody waits for.
+	// If the answer cannot be written, the caller has gone.
 	_, _ = protodelim.MarshalTo(stream, s.answer(ctx, call))
 }
 
-var errBusy = errors.New("peer: too many calls for other instances")
+var errBusy = errors.New("peer: too many calls in flight for other instances")
 
 func (s *StoreServer) answer(ctx context.Context, call *peerpb.StoreCall) *peerpb.StoreAnswer {
 	select {
-	case s.room <- struct{}{}:
-		defer func() { <-s.room }()
+	case s.slots <- struct{}{}:
+		defer func() { <-s.slots }()
 	default:
-		return failed(fmt.Errorf("%w: %w", platform.ErrNotApplied, errBusy))
+		return errorAnswer(fmt.Errorf("%w: %w", platform.ErrNotApplied, errBusy))
 	}
 	a := &peerpb.StoreAnswer{}
 	if err := s.carryOut(ctx, call, a); err != nil {
-		return failed(err)
+		return errorAnswer(err)
 	}
 	a.Outcome = peerpb.StoreAnswer_DONE
 	return a
 }
 
-// carryOut makes the call and fills in what the store answered.
+// carryOut makes the call and fills in the answer.
 func (s *StoreServer) carryOut(ctx context.Context, call *peerpb.StoreCall, a *peerpb.StoreAnswer) error {
 	switch c := call.GetCall().(type) {
 	case *peerpb.StoreCall_Ping:
@@ -108,5 +109,5 @@
 	case *peerpb.StoreCall_DeleteObject:
 		return s.store.DeleteObject(ctx, c.DeleteObject)
 	}
-	return errors.New("unknown call")
+	return errors.New("peer: unknown kind of call")
 }
--- a/pkg/peer/watch.go
+++ b/pkg/peer/watch.go
@@ -16,34 +16,34 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// newsBytes is about how many bytes of rows are sent in one message, so that those of
-// several watchers take turns on a link.
-const newsBytes = 64 << 10
+// updateBytes is the approximate size in bytes of the rows in one message. It is limited
+// so that the messages of several watchers on a link interleave.
+const updateBytes = 64 << 10
 
-// newsWriteTimeout bounds the sending of one message: a watcher that takes none for as
-// long has been suspended, and looks for another peer when it wakes.
-const newsWriteTimeout = 2 * time.Second
+// updateWriteTimeout bounds sending one message. A watcher that reads nothing for as long
+// is suspended, and looks for another peer when it resumes.
+const updateWriteTimeout = 2 * time.Second
 
-// WatchedTable is a table and the version up to which its watcher knows it, 0 for
-// nothing.
+// WatchedTable is a table and the version up to which its watcher knows it; 0 requests
+// the whole table.
 type WatchedTable struct {
 	Table string
 	After uint64
 }
 
-// TableUpdate is what has become of a watched table.
+// TableUpdate is what has changed in a watched table.
 type TableUpdate struct {
 	Table string
-	// Reset means that Changes hold the whole table.
+	// Reset means that Changes is the whole table.
 	Reset   bool
 	Changes []platform.Change
-	// Version is the one up to which the table is known with Changes.
+	// Version is the version up to which the table is known with Changes.
 	Version uint64
-	// Unavailable means that the peer could not ask the store lately.
+	// Unavailable means that the peer has recently been unable to read the store.
 	Unavailable bool
 }
 
-// WatchUpdate is what a peer tells its watchers, and a sign that it lives.
+// WatchUpdate is one message of a peer to its watchers. It also serves as a heartbeat.
 type WatchUpdate struct {
 	Tables []TableUpdate
 	// Full means that the peer has no room for another watcher.
@@ -52,12 +52,12 @@
 	Leaving bool
 }
 
-// AnyUnavailable reports whether the peer has lost the store for any of the tables.
+// AnyUnavailable reports whether any of the tables is Unavailable.
 func (n WatchUpdate) AnyUnavailable() bool {
 	return slices.ContainsFunc(n.Tables, func(t TableUpdate) bool { return t.Unavailable })
 }
 
-// Link is a connection to a peer for watches alone.
+// Link is a connection to a peer that carries watches only.
 type Link struct {
 	address string
 	session *yamux.Session
@@ -72,19 +72,20 @@
 	return &Link{address: address, session: session}, nil
 }
 
-// Close ends the watches of the link.
+// Close closes the link and ends its watches.
 func (l *Link) Close() { l.session.Close() }
 
-// WatchStream reads the answers to one watch.
+// WatchStream reads the updates of one watch.
 type WatchStream struct {
 	stream net.Conn
 	tables []WatchedTable
-	read   *byteReader
-	// begun are the first rows of tables of which the rest is to come, by index.
-	begun map[uint32][]platform.Change
+	reader *byteReader
+	// partial holds, by table index, the first rows of tables whose remaining rows have
+	// not arrived yet.
+	partial map[uint32][]platform.Change
 }
 
-// Watch asks the peer for what changes in tables. The caller closes the Watcher.
+// Watch opens a watch of tables. The caller closes the WatchStream.
 func (l *Link) Watch(tables []WatchedTable) (*WatchStream, error) {
 	stream, err := l.session.Open()
 	if err != nil {
@@ -98,33 +99,34 @@
 		stream.Close()
 		return nil, fmt.Errorf("peer %s: %w", l.address, err)
 	}
-	return &WatchStream{stream: stream, tables: tables, read: newByteReader(stream), begun: map[uint32][]platform.Change{}}, nil
+	return &WatchStream{stream: stream, tables: tables, reader: newByteReader(stream), partial: map[uint32][]platform.Change{}}, nil
 }
 
-// Next returns the next news, which come within a time if the peer lives. Tables of
-// which a part of the rows has come are told with the last part.
+// Next returns the next update. It fails if no message arrives within the given time, as
+// from a peer that is not live. A table that is split over several messages is returned
+// with the last of them.
 func (w *WatchStream) Next(within time.Duration) (WatchUpdate, error) {
 	if err := w.stream.SetReadDeadline(time.Now().Add(within)); err != nil {
 		return WatchUpdate{}, err
 	}
 	a := &peerpb.WatchAnswer{}
-	if err := (protodelim.UnmarshalOptions{MaxSize: maxMessage}).UnmarshalFrom(w.read, a); err != nil {
+	if err := (protodelim.UnmarshalOptions{MaxSize: maxMessage}).UnmarshalFrom(w.reader, a); err != nil {
 		return WatchUpdate{}, err
 	}
 	n := WatchUpdate{Full: a.GetFull(), Leaving: a.GetLeaving()}
 	for _, t := range a.GetTables() {
 		if int(t.GetIndex()) >= len(w.tables) {
-			return WatchUpdate{}, errors.New("peer: news of a table that was not asked for")
+			return WatchUpdate{}, errors.New("peer: update of a table that is not watched")
 		}
-		changes := w.begun[t.GetIndex()]
+		changes := w.partial[t.GetIndex()]
 		for _, r := range t.GetRows() {
 			changes = append(changes, platform.Change{Row: rowOf(r), Deleted: r.GetDeleted()})
 		}
 		if t.GetMore() {
-			w.begun[t.GetIndex()] = changes
+			w.partial[t.GetIndex()] = changes
 			continue
 		}
-		delete(w.begun, t.GetIndex())
+		delete(w.partial, t.GetIndex())
 		n.Tables = append(n.Tables, TableUpdate{Table: w.tables[t.GetIndex()].Table, Reset: t.GetWhole(), Changes: changes, Version: t.GetVersion(), Unavailable: t.GetLost()})
 	}
 	return n, nil
@@ -133,14 +135,14 @@
 // Close ends the watch.
 func (w *WatchStream) Close() { w.stream.Close() }
 
-// WatchServer answers a watch: it calls send with all tables first, and then with those
-// that have changed, until ctx ends, send fails or it has nothing to tell, and returns
-// which.
+// WatchServer serves watches. Watch calls send with all tables first, and then with the
+// tables that have changed, until ctx ends, send fails or the watch is over, and returns
+// the error of ctx or send.
 type WatchServer interface {
 	Watch(ctx context.Context, tables []WatchedTable, send func(WatchUpdate) error) error
 }
 
-// serveWatch has the server answer a watch on a stream.
+// serveWatch has server serve a watch on a stream.
 func serveWatch(ctx context.Context, server WatchServer, call *peerpb.Watch, stream net.Conn) {
 	tables := make([]WatchedTable, len(call.GetTables()))
 	index := map[string]uint32{}
@@ -148,10 +150,10 @@
 		tables[i] = WatchedTable{Table: t.GetTable(), After: t.GetAfter()}
 		index[t.GetTable()] = uint32(i)
 	}
-	// Why it ended is of no use here: the watcher sees the end of the stream.
+	// The error is not needed here: the watcher sees the end of the stream.
 	_ = server.Watch(ctx, tables, func(n WatchUpdate) error {
-		for a := range answersOf(n, index) {
-			if err := stream.SetWriteDeadline(time.Now().Add(newsWriteTimeout)); err != nil {
+		for a := range messagesOf(n, index) {
+			if err := stream.SetWriteDeadline(time.Now().Add(updateWriteTimeout)); err != nil {
 				return err
 			}
 			if _, err := protodelim.MarshalTo(stream, a); err != nil {
@@ -162,27 +164,27 @@
 	})
 }
 
-// answersOf returns the messages that tell n: one, or more if there are many rows. They
-// are made one after the other, as there may be whole tables to tell to many at once.
-func answersOf(n WatchUpdate, index map[string]uint32) iter.Seq[*peerpb.WatchAnswer] {
+// messagesOf returns the messages that encode n: one, or more if there are many rows.
+// They are created one at a time, as whole tables may be sent to many watchers at once.
+func messagesOf(n WatchUpdate, index map[string]uint32) iter.Seq[*peerpb.WatchAnswer] {
 	return func(yield func(*peerpb.WatchAnswer) bool) {
 		a := &peerpb.WatchAnswer{Full: n.Full, Leaving: n.Leaving}
 		size := 0
 		for _, t := range n.Tables {
-			news := &peerpb.TableNews{Index: index[t.Table], Whole: t.Reset, Version: t.Version, Lost: t.Unavailable}
-			a.Tables = append(a.Tables, news)
+			update := &peerpb.TableNews{Index: index[t.Table], Whole: t.Reset, Version: t.Version, Lost: t.Unavailable}
+			a.Tables = append(a.Tables, update)
 			for _, ch := range t.Changes {
-				if size >= newsBytes {
-					news.More = true
+				if size >= updateBytes {
+					update.More = true
 					if !yield(a) {
 						return
 					}
-					news = &peerpb.TableNews{Index: news.Index, Whole: t.Reset, Version: t.Version, Lost: t.Unavailable}
-					a, size = &peerpb.WatchAnswer{Leaving: n.Leaving, Tables: []*peerpb.TableNews{news}}, 0
+					update = &peerpb.TableNews{Index: update.Index, Whole: t.Reset, Version: t.Version, Lost: t.Unavailable}
+					a, size = &peerpb.WatchAnswer{Leaving: n.Leaving, Tables: []*peerpb.TableNews{update}}, 0
 				}
 				r := storedRow(ch.Row)
 				r.Deleted = ch.Deleted
-				news.Rows = append(news.Rows, r)
+				update.Rows = append(update.Rows, r)
 				size += len(ch.Key) + len(ch.Value) + rowOverhead
 			}
 		}
@@ -190,5 +192,6 @@
 	}
 }
 
-// rowOverhead is about what a row takes beside its key and its value, in bytes.
+// rowOverhead is the approximate size of an encoded row in bytes, without its key and
+// value.
 const rowOverhead = 16
