--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -80,9 +80,9 @@
 	if err := v.Apply([]platform.Change{row(t, "a", "a#1", 2), row(t, "b", "b#1", 3)}, false, now); err != nil {
 		t.Fatal(err)
 	}
-	away := now
+	outageStart := now
 	now = now.Add(time.Minute)
-	v.ExtendAfterOutage(away, now)
+	v.ExtendAfterOutage(outageStart, now)
 	if got := names(v.Live(now, "a")); got != "ab" {
 		t.Fatalf("live: %s, want ab", got)
 	}
@@ -119,11 +119,11 @@
 		want            bool
 	}{{time.Second, 0, true}, {4 * time.Second, 0, false}, {time.Second, 2 * time.Second, true}, {time.Second, 4 * time.Second, false}} {
 		at := now.Add(c.after)
-		var away time.Time
+		var since time.Time
 		if c.unreadableSince > 0 {
-			away = at.Add(-c.unreadableSince)
+			since = at.Add(-c.unreadableSince)
 		}
-		if got := v.Current(at, away, "a"); got != c.want {
+		if got := v.Current(at, since, "a"); got != c.want {
 			t.Errorf("%+v: Current = %v, want %v", c, got, c.want)
 		}
 	}
--- a/pkg/membership/roster_test.go
+++ b/pkg/membership/roster_test.go
@@ -183,9 +183,9 @@
 		}
 		// From here on the receiver reads the table itself: stale members must stay
 		// stale.
-		lapsed := map[string]bool{}
+		stale := map[string]bool{}
 		for _, m := range reader.RelayedMembers(now, "a") {
-			lapsed[m.Name] = m.Stale
+			stale[m.Name] = m.Stale
 		}
 		var all []platform.Change
 		for _, r := range rows {
@@ -195,7 +195,7 @@
 			t.Fatal(err)
 		}
 		for _, m := range receiver.Live(now, "a") {
-			if _, there := rows["a"]; there && lapsed[m.Name] {
+			if _, there := rows["a"]; there && stale[m.Name] {
 				t.Fatalf("stale member %s became live again", m.Name)
 			}
 		}
--- a/pkg/watch/connect.go
+++ b/pkg/watch/connect.go
@@ -229,9 +229,9 @@
 
 // isBehind reports whether a relay's first update is older than what this instance knows,
 // as after the relay was suspended without noticing.
-func isBehind(n peer.WatchUpdate, asked []peer.WatchedTable) bool {
+func isBehind(n peer.WatchUpdate, watched []peer.WatchedTable) bool {
 	for _, t := range n.Tables {
-		for _, a := range asked {
+		for _, a := range watched {
 			if a.Table == t.Table && t.Version < a.After {
 				return true
 			}
--- a/pkg/watch/machine.go
+++ b/pkg/watch/machine.go
@@ -9,8 +9,8 @@
 type (
 	// Started is sent once, when Run starts. The Machine reads the directory of relays.
 	Started struct{ At time.Time }
-	// Ticked gives the current time. It is sent at the time returned by Next; the Machine
-	// does what is due.
+	// Ticked gives the current time. It is sent at the time returned by Next at the
+	// latest; the Machine does what is due.
 	Ticked struct{ At time.Time }
 	// DirectoryRead is the outcome of a ReadDirectory. The Machine starts a search,
 	// claims a slot or reads the store.
@@ -113,8 +113,8 @@
 	DataCentre string  // data centre of this instance
 	Cores      float64 // processor cores of this instance
 	CanRelay   bool    // other instances can connect to this one
-	// UseRelays reports whether the site is too large for each instance to read the
-	// tables from the store.
+	// UseRelays reports whether the tables are too large for each instance to read them
+	// from the store.
 	UseRelays func() bool
 	// Live reports whether the instance with a start ID is live; known is false while
 	// that cannot be determined.
--- a/pkg/watch/watch.go
+++ b/pkg/watch/watch.go
@@ -148,8 +148,8 @@
 	Store      platform.Store
 	Dial       Dial // nil to read the store only
 	Tables     []TableConfig
-	// UseRelays reports whether the site is too large for each instance to read the
-	// tables from the store.
+	// UseRelays reports whether the tables are too large for each instance to read them
+	// from the store.
 	UseRelays func() bool
 	// Live reports whether the instance with a start ID is live; known is false while
 	// that cannot be determined.
--- a/pkg/watchcache/watchcache_test.go
+++ b/pkg/watchcache/watchcache_test.go
@@ -56,9 +56,9 @@
 
 // feedTo brings a cache up to date, by the history from index from on or by the whole
 // table. It returns the length of the history.
-func (s *store) feedTo(c *watchcache.Cache, from int, whole bool) int {
-	u := feed.Update{At: time.Now(), Version: s.version, Reset: whole, Changes: s.history[from:]}
-	if whole {
+func (s *store) feedTo(c *watchcache.Cache, from int, reset bool) int {
+	u := feed.Update{At: time.Now(), Version: s.version, Reset: reset, Changes: s.history[from:]}
+	if reset {
 		u.Changes = nil
 		for _, r := range s.rows {
 			u.Changes = append(u.Changes, platform.Change{Row: r})
