--- a/pkg/entry/authorize.go
+++ b/pkg/entry/authorize.go
@@ -7,16 +7,17 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// KeyHeader carries a caller's API key, where its customer has keys.
+// KeyHeader is the request header that carries the caller's API key. It is required only
+// for customers that have keys.
 const KeyHeader = "Zinnia-Key"
 
-var errKey = errors.New("no key of the customer in " + KeyHeader)
+var errInvalidKey = errors.New("request has no valid API key of the customer in header " + KeyHeader)
 
-// authorize returns nil if the caller of r may act for customer, or a NotRun error
-// with status 401. The key goes no further than here.
+// authorize returns nil if the caller of r may act for customer, and otherwise a NotRun
+// error with status 401. The key is not passed on to upstreams.
 func (in *Instance) authorize(r *http.Request, customer string) error {
 	if in.View().Customers[customer].AcceptsKey(r.Header.Get(KeyHeader)) {
 		return nil
 	}
-	return verdict.New(verdict.NotRun, http.StatusUnauthorized, errKey)
+	return verdict.New(verdict.NotRun, http.StatusUnauthorized, errInvalidKey)
 }
--- a/pkg/entry/bench_test.go
+++ b/pkg/entry/bench_test.go
@@ -16,22 +16,22 @@
 	"github.com/zinnialadder/zinnialadder/pkg/entry"
 )
 
-// Bounds on the time of a generation through an entry instance against the
-// same generation sent to the engine directly: of the mean, and of the 99th
-// percentile. The entry adds one loopback hop, JSON re-encoding of each chunk
-// and, for a training entry, a sample record, a delivery and a record delete.
+// Bounds on the ratio of the latency of a generation through an entry instance to that of
+// the same generation sent to the engine directly, for the mean and the 99th percentile.
+// The instance adds one loopback hop, JSON re-encoding of each chunk and, for a training
+// entry, the writing of a record, a delivery and the deletion of the record.
 const (
 	maxOverheadRatio = 5.0
 	maxP99Ratio      = 6.0
 )
 
 const (
-	benchCallers = 8 // callers that send at once
-	benchRounds  = 5 // rounds of b.N calls of each kind; the median round is held to the bounds
+	benchCallers = 8 // concurrent callers
+	benchRounds  = 5 // rounds of b.N calls of each kind; the bounds apply to the medians of the rounds
 )
 
-// comparison is the times of the same generations in one round, sent to the
-// engine directly and through the entry instance, in microseconds.
+// comparison holds the latencies of one round in microseconds, of the same generations sent
+// to the engine directly and through the entry instance.
 type comparison struct {
 	direct, entry *hdrhistogram.Histogram
 }
@@ -42,11 +42,10 @@
 	return float64(c.entry.ValueAtQuantile(99)) / float64(c.direct.ValueAtQuantile(99))
 }
 
-// BenchmarkForwarding runs the same 8-token generation directly against an
-// engine and through an entry instance, for an interactive entry and for a
-// training one (whose answers become samples), and reports the ratios. Each
-// caller sends the two kinds in turn, so that whatever else the machine does
-// slows both; a machine busy during one kind alone says nothing of the entry.
+// BenchmarkForwarding sends the same 8-token generation directly to an engine and through
+// an entry instance, for an interactive entry and for a training entry, and reports the
+// ratios of the latencies. Each caller alternates between the two kinds, so that other load
+// on the machine affects both.
 func BenchmarkForwarding(b *testing.B) {
 	for _, name := range []string{"chat", "drafts"} {
 		b.Run(name, func(b *testing.B) { benchForwarding(b, name) })
@@ -73,7 +72,7 @@
 		req := entry.GenerateRequest{Customer: "minho", Entry: entryName, RequestID: fmt.Sprintf("b%d-%d", caller, i),
 			Prompt: "p", MaxTokens: tokens}
 		if _, _, last := generate(b, s.Entries[0].Addr(), req); !last.Done {
-			return fmt.Errorf("not done: %+v", last)
+			return fmt.Errorf("last event %+v, want Done", last)
 		}
 		return nil
 	}
@@ -87,7 +86,7 @@
 	b.ReportMetric(ratio, "ratio")
 	b.ReportMetric(p99, "p99-ratio")
 	if ratio > maxOverheadRatio || p99 > maxP99Ratio {
-		b.Fatalf("through the entry %.1fx the direct mean (bound %.1f) and %.1fx the p99 (bound %.1f)", ratio, maxOverheadRatio, p99, maxP99Ratio)
+		b.Fatalf("latency through the entry instance: %.1fx the direct mean, want at most %.1f; %.1fx the direct p99, want at most %.1f", ratio, maxOverheadRatio, p99, maxP99Ratio)
 	}
 }
 
@@ -107,9 +106,9 @@
 	return values[len(values)/2]
 }
 
-// compare returns the times of b.N calls of each kind, sent in turn by each
-// of benchCallers callers, after one of each to warm the connections. Calls
-// are numbered on from earlier rounds.
+// compare returns the latencies of b.N calls of each kind. benchCallers callers alternate
+// between the kinds, after one call of each to open the connections. Calls are numbered
+// across rounds.
 func compare(b *testing.B, round int, direct, through func(caller, i int) error) comparison {
 	b.Helper()
 	var mu sync.Mutex
--- a/pkg/entry/call.go
+++ b/pkg/entry/call.go
@@ -17,19 +17,19 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// CallRequest is a caller's call to a plain service. A call with
-// Idempotent false runs at most once per Key, across all entry instances.
+// CallRequest is a request to call a plain service. A call with Idempotent set to false
+// runs at most once per Key, across all entry instances.
 type CallRequest struct {
 	Customer   string          `json:"customer"`
 	Entry      string          `json:"entry"`
 	Method     string          `json:"method"`
-	Key        string          `json:"key"` // the Idempotency-Key
+	Key        string          `json:"key"` // the idempotency key
 	Idempotent bool            `json:"idempotent"`
 	Body       json.RawMessage `json:"body"`
 }
 
-// CallResponse is the answer to a call. Replayed is set when the call had run
-// before and this is its recorded answer.
+// CallResponse is the response to a call. Replayed reports that an earlier call with the
+// same key ran and that Body is its recorded response.
 type CallResponse struct {
 	Body     json.RawMessage `json:"body"`
 	Replayed bool            `json:"replayed,omitempty"`
@@ -51,14 +51,16 @@
 	return nil
 }
 
-// digest tells the request from others with the same key.
+// digest returns a hash of the method and body, which distinguishes the request from others
+// with the same key.
 func (r CallRequest) digest() string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\n%s", r.Method, r.Body)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// printable reports whether s can be carried in a header as it is.
+// printable reports whether s is valid UTF-8 without control characters, so that it can be
+// sent in a header unchanged.
 func printable(s string) bool {
 	return !strings.ContainsFunc(s, unicode.IsControl) && utf8.ValidString(s)
 }
@@ -79,9 +81,9 @@
 func (in *Instance) call(ctx context.Context, v *View, e catalogue.Entry, req CallRequest) (CallResponse, error) {
 	c := &serviceCall{in: in, view: v, entry: e, req: req}
 	if req.Idempotent {
-		return c.repeatable(ctx)
+		return c.sendIdempotent(ctx)
 	}
-	cl := claim.New(in.claims(), in.attempt(), req.Customer+"/"+req.Entry+"/"+req.Key, req.digest())
+	cl := claim.New(in.claimConfig(), in.newAttemptID(), req.Customer+"/"+req.Entry+"/"+req.Key, req.digest())
 	row, replay, err := cl.Acquire(ctx)
 	if err != nil {
 		return CallResponse{}, err
@@ -92,24 +94,24 @@
 	if row, err = cl.SetState(ctx, row, claim.Sending, nil); err != nil {
 		return CallResponse{}, err
 	}
-	ans, err := c.once(ctx)
+	ans, err := c.sendOnce(ctx)
 	if verdict.Of(err) == verdict.NotRun {
-		// It reached no service: let the key be claimed again.
+		// No service received the call, so another attempt may claim the key.
 		if _, merr := cl.SetState(ctx, row, claim.Claimed, nil); merr != nil {
-			in.cfg.Logger.Debug("claim of a call not sent left standing", "key", cl.Key(), "err", merr)
+			in.cfg.Logger.Debug("could not release the claim of a call that was not sent", "key", cl.Key(), "err", merr)
 		}
 		return CallResponse{}, err
 	}
 	if err != nil {
-		return CallResponse{}, err // the claim stays at sending: the call may have run
+		return CallResponse{}, err // the claim stays in state Sending: the call may have run
 	}
 	if _, err := cl.SetState(ctx, row, claim.Done, ans.Body); err != nil {
-		in.cfg.Logger.Warn("call ran but its answer was not recorded", "key", cl.Key(), "err", err)
+		in.cfg.Logger.Warn("call ran but its response could not be recorded", "key", cl.Key(), "err", err)
 	}
 	return ans, nil
 }
 
-// claims returns what claims of calls need.
-func (in *Instance) claims() claim.Config {
-	return claim.Config{Get: in.cfg.Platform.Get, Commit: in.cfg.Platform.Commit, Clock: in.cfg.Clock, Timeout: in.cfg.PlatformTimeout, RetryAt: in.comeBackAt}
+// claimConfig returns the configuration of the claims of non-idempotent calls.
+func (in *Instance) claimConfig() claim.Config {
+	return claim.Config{Get: in.cfg.Platform.Get, Commit: in.cfg.Platform.Commit, Clock: in.cfg.Clock, Timeout: in.cfg.PlatformTimeout, RetryAt: in.defaultRetryAt}
 }
--- a/pkg/entry/call_prop_test.go
+++ b/pkg/entry/call_prop_test.go
@@ -32,12 +32,12 @@
 	defer resp.Body.Close()
 	v, err := verdict.Parse(resp.Header.Get(verdict.Header))
 	if err != nil {
-		t.Fatalf("call %s: status %d with no verdict", key, resp.StatusCode)
+		t.Fatalf("call %s: status %d without a verdict", key, resp.StatusCode)
 	}
 	return resp.StatusCode, v
 }
 
-// fault is one failure a step of the state machine may bring about.
+// fault is a failure injected during a call.
 type fault int
 
 const (
@@ -49,10 +49,9 @@
 	allServicesRefuse
 )
 
-// Non-idempotent calls, retried at any instance under lost replies and
-// platform outages: each key runs at most once; a not_run answer is true;
-// an answer of ran means it ran; and once the faults stop, a key that never
-// ran can still be run.
+// Non-idempotent calls are retried at any instance while responses are lost and the
+// platform is unavailable. Each key runs at most once, the verdicts not_run and ran are
+// correct, and after the faults a key that has not run can still run.
 func TestNonIdempotentCallsRunAtMostOnce(t *testing.T) {
 	s := startSite(t, 1, 2, enginetest.Config{})
 	round := 0
@@ -71,11 +70,11 @@
 				after := s.Executions()[key]
 				switch {
 				case after > 1:
-					rt.Fatalf("%s ran %d times", key, after)
+					rt.Fatalf("%s ran %d times, want at most 1", key, after)
 				case v == verdict.NotRun && after != before:
-					rt.Fatalf("%s answered not_run (status %d) but ran", key, status)
+					rt.Fatalf("%s ran but got verdict not_run (status %d)", key, status)
 				case v == verdict.Ran && status == http.StatusOK && after != 1:
-					rt.Fatalf("%s answered ran but ran %d times", key, after)
+					rt.Fatalf("%s got verdict ran but ran %d times, want 1", key, after)
 				}
 			},
 		})
@@ -84,13 +83,13 @@
 				continue
 			}
 			if status, v := callOnce(rt, s.Entries[0].Addr(), key); status != http.StatusOK || s.Executions()[key] != 1 {
-				rt.Fatalf("%s never ran; with the faults gone it answered %d %s", key, status, v)
+				rt.Fatalf("%s without faults: got status %d and verdict %s, want 200 and one execution", key, status, v)
 			}
 		}
 	})
 }
 
-// inject brings about f, or with noFault clears every fault.
+// inject injects f. With noFault it clears all faults.
 func inject(s *site.Site, f fault) {
 	for _, svc := range s.Services {
 		svc.LoseReplies(0)
--- a/pkg/entry/call_test.go
+++ b/pkg/entry/call_test.go
@@ -14,7 +14,7 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// lookup sends one idempotent call and returns the answer's status.
+// lookup sends one idempotent call and returns the response status.
 func lookup(t testing.TB, addr, key string) int {
 	t.Helper()
 	_, err := entry.NewClient(addr, nil).Call(context.Background(), entry.CallRequest{Customer: "minho", Entry: "plans",
@@ -22,39 +22,39 @@
 	return statusOf(t, err)
 }
 
-// A crashed service costs no caller anything: calls, also those that may
-// run once only, go to the service that lives, and run there once.
-func TestCallsPassOverACrashedService(t *testing.T) {
+// Both idempotent and non-idempotent calls must go to the remaining service if the other
+// one has crashed, and run there once.
+func TestCallsAvoidCrashedService(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{})
 	s.CrashService(0)
 	for i := 0; i < 12; i++ {
 		key := fmt.Sprint("plan-", i)
 		if status, v := callOnce(t, s.Entries[0].Addr(), key); status != http.StatusOK || v != verdict.Ran {
-			t.Fatalf("call %d answered %d %s", i, status, v)
+			t.Fatalf("call %d: got status %d and verdict %s, want 200 and ran", i, status, v)
 		}
 		if n := s.Executions()[key]; n != 1 {
-			t.Fatalf("call %d ran %d times", i, n)
+			t.Fatalf("call %d ran %d times, want 1", i, n)
 		}
 		if status := lookup(t, s.Entries[0].Addr(), fmt.Sprint("balance-", i)); status != http.StatusOK {
-			t.Fatalf("lookup %d answered %d", i, status)
+			t.Fatalf("lookup %d: got status %d, want 200", i, status)
 		}
 	}
 }
 
-// Idempotent calls whose replies are lost are sent again at once.
-func TestIdempotentCallIsSentAgain(t *testing.T) {
+// Idempotent calls whose responses are lost must be retried immediately.
+func TestIdempotentCallIsRetried(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{})
 	for i := 0; i < 6; i++ {
 		s.Services[i%2].LoseReplies(1)
 		if status := lookup(t, s.Entries[0].Addr(), fmt.Sprint("balance-", i)); status != http.StatusOK {
-			t.Fatalf("lookup %d answered %d", i, status)
+			t.Fatalf("lookup %d: got status %d, want 200", i, status)
 		}
 	}
 }
 
-// Retries keep within their budget: with every reply lost, requests are
-// soon sent once each, not three times.
-func TestRetriesKeepWithinTheirBudget(t *testing.T) {
+// If every response is lost, the retry budget must limit the retries, so that calls are not
+// all sent three times.
+func TestRetryBudget(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{})
 	for _, svc := range s.Services {
 		svc.LoseReplies(1 << 20)
@@ -68,12 +68,12 @@
 		ran += n
 	}
 	if most := calls + 100 + calls/5; ran > most {
-		t.Fatalf("%d calls were sent %d times; the budget allows %d", calls, ran, most)
+		t.Fatalf("%d calls were sent %d times, want at most %d", calls, ran, most)
 	}
 }
 
-// A call to a service that has turned slow is hedged: the other service
-// answers long before the slow one could.
+// Calls to a service that has become slow must be hedged: the other service responds long
+// before the slow one.
 func TestSlowServiceIsHedged(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{})
 	for i := 0; i < 40; i++ {
@@ -83,57 +83,57 @@
 	start := time.Now()
 	for i := 0; i < 8; i++ {
 		if status := lookup(t, s.Entries[0].Addr(), fmt.Sprint("balance-", i)); status != http.StatusOK {
-			t.Fatalf("lookup %d answered %d", i, status)
+			t.Fatalf("lookup %d: got status %d, want 200", i, status)
 		}
 	}
 	if took := time.Since(start); took > 8*time.Second {
-		t.Fatalf("8 lookups took %v with one service of two answering after 10 s", took)
+		t.Fatalf("8 lookups with one of two services delayed by 10s took %v, want at most 8s", took)
 	}
 }
 
-// A key is remembered across midnight, by instances whose clocks differ: the
-// call runs once, whichever of them is asked first.
-func TestKeyIsRememberedAcrossMidnight(t *testing.T) {
+// Claims are stored by day. A call must run only once if instances whose clocks are on
+// different sides of midnight get it, whichever gets it first.
+func TestClaimIsFoundAcrossMidnight(t *testing.T) {
 	midnight := time.Now().UTC().Truncate(24 * time.Hour)
 	s := startSite(t, 1, 0, enginetest.Config{})
 	for id, offset := range map[string]time.Duration{"before": -time.Minute, "after": time.Minute, "next-day": 23 * time.Hour} {
-		err := s.StartEntryWith(id, func(c *entry.Config) { c.Clock = shifted(time.Until(midnight.Add(offset))) })
+		err := s.StartEntryWith(id, func(c *entry.Config) { c.Clock = shiftedClock(time.Until(midnight.Add(offset))) })
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, 5*time.Second, "the catalogue applied", func() bool {
+	waitFor(t, 5*time.Second, "all instances to apply the catalogue", func() bool {
 		return !slices.ContainsFunc(s.Entries, func(in *entry.Instance) bool { return len(in.View().Entries) == 0 })
 	})
 	for first := range s.Entries {
 		key := fmt.Sprint("midnight-", first)
 		for i := range s.Entries {
 			if status, v := callOnce(t, s.Entries[(first+i)%len(s.Entries)].Addr(), key); status != http.StatusOK || v != verdict.Ran {
-				t.Fatalf("%s answered %d %s", key, status, v)
+				t.Fatalf("%s: got status %d and verdict %s, want 200 and ran", key, status, v)
 			}
 		}
 		if n := s.Executions()[key]; n != 1 {
-			t.Fatalf("%s ran %d times", key, n)
+			t.Fatalf("%s ran %d times, want 1", key, n)
 		}
 	}
 }
 
-// shifted is the system's clock, put forward by so much.
-type shifted time.Duration
+// shiftedClock is the system clock with an offset.
+type shiftedClock time.Duration
 
-func (s shifted) Now() time.Time { return time.Now().Add(time.Duration(s)) }
+func (s shiftedClock) Now() time.Time { return time.Now().Add(time.Duration(s)) }
 
-// Claims of days no longer kept are removed; those of the last days stay.
-func TestOldClaimsAreRemoved(t *testing.T) {
+// Claims older than the retention period must be deleted, and the others kept.
+func TestExpiredClaimsAreDeleted(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{})
 	for ago := range 6 {
 		for i := range 150 {
 			s.Platform.Put(fmt.Sprintf("claim/%s/minho/plans/k%d", time.Now().UTC().AddDate(0, 0, -ago).Format(time.DateOnly), i), "claim")
 		}
 	}
-	waitFor(t, 10*time.Second, "three of six days kept", func() bool { return len(s.Platform.Rows("claim/")) == 3*150 })
+	waitFor(t, 10*time.Second, "the claims of three of six days to be deleted", func() bool { return len(s.Platform.Rows("claim/")) == 3*150 })
 	time.Sleep(300 * time.Millisecond) // several more purges
 	if n := len(s.Platform.Rows("claim/")); n != 3*150 {
-		t.Fatalf("%d claims left, want 450", n)
+		t.Fatalf("got %d claims after more purges, want 450", n)
 	}
 }
--- a/pkg/entry/choose.go
+++ b/pkg/entry/choose.go
@@ -9,10 +9,10 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// choose chooses one of ups by load, distance and affinity, and takes a place
-// at it, which the caller gives back with in.load.Release. Upstreams that are
-// ejected, or that avoid holds for, are chosen only if there is no other. It
-// reports false if no upstream has a place.
+// choose selects one of ups by load, data centre and affinity, and reserves a slot at it,
+// which the caller frees with in.load.Release. Upstreams that are ejected or for which
+// avoid returns true are selected only if no other has a free slot. It reports false if no
+// upstream has a free slot.
 func (in *Instance) choose(v *View, ups []catalogue.Upstream, avoid func(catalogue.Upstream) bool, affinity string) (addr string, ok bool) {
 	now := in.cfg.Clock.Now()
 	var good, rest []catalogue.Upstream
@@ -32,12 +32,12 @@
 	return "", false
 }
 
-// chooseFrom takes a place at the best of ups that has one.
+// chooseFrom reserves a slot at the best of ups that has a free one.
 func (in *Instance) chooseFrom(v *View, ups []catalogue.Upstream, affinity string) (catalogue.Upstream, bool) {
 	cands := in.candidates(v, ups)
 	for len(cands) > 0 {
 		i := in.policy.Pick(cands, affinity)
-		if in.enter(v, ups[i]) {
+		if in.acquire(v, ups[i]) {
 			return ups[i], true
 		}
 		cands = append(cands[:i], cands[i+1:]...)
@@ -46,14 +46,14 @@
 	return catalogue.Upstream{}, false
 }
 
-// candidates returns ups with what one request more would wait for at each,
-// in requests at the usual pace.
+// candidates returns ups with their load: the number of requests that one more request
+// would wait for, scaled by how slow the upstream is.
 func (in *Instance) candidates(v *View, ups []catalogue.Upstream) []route.Candidate {
 	addrs := make([]string, len(ups))
 	for i, u := range ups {
 		addrs[i] = u.Address
 	}
-	slowness := in.paces.Slowness(addrs, in.cfg.Clock.Now())
+	slowness := in.tokenTimes.Slowness(addrs, in.cfg.Clock.Now())
 	cands := make([]route.Candidate, len(ups))
 	for i, u := range ups {
 		wait := (in.loadOf(v, u.Address)+1)*slowness[i] - 1
@@ -62,31 +62,32 @@
 	return cands
 }
 
-// affinitySlack is how many requests more than the least loaded engine one
-// may hold and still be chosen for its prefix cache. With less, prefixes
-// spread over more caches than can hold them; with more, requests queue at
-// the engine of a prefix that many ask for (BenchmarkPrefixRouting).
+// affinitySlack is how many more requests than the least loaded engine an engine may hold
+// and still be selected for its prefix cache. A lower value spreads prefixes over more
+// caches than can hold them. A higher value makes requests queue at the engine of a popular
+// prefix. BenchmarkPrefixRouting measures both effects.
 const affinitySlack = 3
 
-// noUpstream is the refusal of a request for which no upstream has a place.
-func (in *Instance) noUpstream(e catalogue.Entry) error {
-	return verdict.Refuse(http.StatusServiceUnavailable, in.comeBackAt(),
-		fmt.Errorf("entry %s: no upstream of pool %q takes requests", e.Name, e.Pool))
+// noUpstreamError returns the NotRun error of a request for which no upstream has a free
+// slot.
+func (in *Instance) noUpstreamError(e catalogue.Entry) error {
+	return verdict.Refuse(http.StatusServiceUnavailable, in.defaultRetryAt(),
+		fmt.Errorf("entry %s: no upstream of pool %q accepts requests", e.Name, e.Pool))
 }
 
-// loadOf is the believed load of an upstream: this instance's own requests in
-// flight to it, which are exact, and those of others when it last told.
+// loadOf returns the estimated load of an upstream: this instance's own requests in flight,
+// which are exact, plus the requests of others according to the upstream's last report.
 func (in *Instance) loadOf(v *View, addr string) float64 {
 	return float64(in.load.Get(addr) + v.Loads.OtherRequests(addr))
 }
 
-// distanceLoad is the load that sending to another data centre counts for: it
-// decides between upstreams otherwise alike, and moves no queue.
-const distanceLoad = 0.5
+// remoteLoad is the load added to an upstream in another data centre. Half a request
+// decides between upstreams with equal load without moving a queue to another data centre.
+const remoteLoad = 0.5
 
 func (in *Instance) distance(u catalogue.Upstream) float64 {
 	if u.DataCentre == in.cfg.DataCentre {
 		return 0
 	}
-	return distanceLoad
+	return remoteLoad
 }
--- a/pkg/entry/client.go
+++ b/pkg/entry/client.go
@@ -17,8 +17,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// Client speaks to one entry instance, as callers and trainers do. Its errors
-// are *verdict.Error: whether the request may have run, and when to come back.
+// Client is an HTTP client of one entry instance, for callers and trainers. Except for
+// Generate, its methods return errors of type *verdict.Error, which tell whether the
+// request may have run and when to retry.
 type Client struct {
 	server httpjson.Client
 }
@@ -29,20 +30,20 @@
 	return &Client{server: httpjson.NewClient("http://"+addr, hc)}
 }
 
-// WithKey returns a Client like c that shows an API key with each request.
+// WithKey returns a Client like c that sends an API key with each request.
 func (c *Client) WithKey(key string) *Client {
 	hc := *c.server.HTTP
-	hc.Transport = keyed{hc.Transport, key}
+	hc.Transport = keyTransport{hc.Transport, key}
 	return &Client{server: httpjson.NewClient(c.server.Base, &hc)}
 }
 
-// keyed adds a key to requests.
-type keyed struct {
-	next http.RoundTripper // nil for the default
+// keyTransport is a http.RoundTripper that adds an API key to requests.
+type keyTransport struct {
+	next http.RoundTripper // nil means http.DefaultTransport
 	key  string
 }
 
-func (k keyed) RoundTrip(r *http.Request) (*http.Response, error) {
+func (k keyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set(KeyHeader, k.key)
 	if k.next == nil {
@@ -51,17 +52,18 @@
 	return k.next.RoundTrip(r)
 }
 
-// GenerateResponse is what a generation came to. It is whole if Last has Done set;
-// else Last tells the error and whether the generation may have run.
+// GenerateResponse is the result of a generation. The generation is complete if Last.Done
+// is set. Otherwise Last holds the error and the verdict, which tells whether the
+// generation may have run.
 type GenerateResponse struct {
-	Status int // of the HTTP answer
+	Status int // HTTP status code
 	Text   string
 	Last   Event
 }
 
-// Generate sends req and reads its answer to the end. An error is of the
-// connection or of an answer that can't be read, with what came before it;
-// refusals are in the Answer.
+// Generate sends req and reads the response to its end. A rejected or failed generation is
+// reported in the GenerateResponse, not as an error. If the connection fails or an event is
+// malformed, Generate returns an error with the response received until then.
 func (c *Client) Generate(ctx context.Context, req GenerateRequest) (GenerateResponse, error) {
 	resp, err := c.server.Send(ctx, http.MethodPost, "/v1/generate", req)
 	if err != nil {
@@ -75,7 +77,7 @@
 	for sc.Scan() {
 		a.Last = Event{}
 		if err := json.Unmarshal(sc.Bytes(), &a.Last); err != nil {
-			return a, fmt.Errorf("entry: bad event %q: %w", sc.Bytes(), err)
+			return a, fmt.Errorf("entry: decode event %q of /v1/generate: %w", sc.Bytes(), err)
 		}
 		text.WriteString(a.Last.Text)
 	}
@@ -83,8 +85,8 @@
 	return a, sc.Err()
 }
 
-// Route returns the instance that a customer's requests with this key should
-// go to, and until when to keep that answer.
+// Route returns the instance to which a customer's requests with this key should be sent,
+// and how long that holds.
 func (c *Client) Route(ctx context.Context, customer, key string) (RouteResponse, error) {
 	var ra RouteResponse
 	q := url.Values{"customer": {customer}, "key": {key}}
@@ -99,27 +101,27 @@
 	return ans, err
 }
 
-// SetTargetVersion names a new weight version for the pool of a training entry.
-// It may be repeated after any error.
+// SetTargetVersion sets the target weight version of the pool of a training entry. It is
+// safe to retry after any error.
 func (c *Client) SetTargetVersion(ctx context.Context, req WeightsRequest) error {
 	return c.do(ctx, http.MethodPost, "/v1/weights", req, nil)
 }
 
-// SubmitStep submits a training step, which is kept once it returns nil. It
-// may be repeated after any error.
+// SubmitStep submits a training step. Once it returns nil, the step is stored. It is safe
+// to retry after any error.
 func (c *Client) SubmitStep(ctx context.Context, spec step.Spec) error {
 	return c.do(ctx, http.MethodPost, "/v1/steps", spec, nil)
 }
 
-// Step returns how far the step id of a customer's entry has got.
+// Step returns the progress of the step id of a customer's entry.
 func (c *Client) Step(ctx context.Context, customer, entry, id string) (StepStatus, error) {
 	var st StepStatus
 	err := c.do(ctx, http.MethodGet, stepPath(customer, entry, id), nil, &st)
 	return st, err
 }
 
-// CancelStep ends a step: no more of it is delivered. It may be repeated after
-// any error.
+// CancelStep cancels a step: no more of its samples are delivered. It is safe to retry
+// after any error.
 func (c *Client) CancelStep(ctx context.Context, customer, entry, id string) error {
 	return c.do(ctx, http.MethodDelete, stepPath(customer, entry, id), nil, nil)
 }
@@ -128,13 +130,14 @@
 	return fmt.Sprintf("/v1/steps/%s/%s/%s", url.PathEscape(customer), url.PathEscape(entry), url.PathEscape(id))
 }
 
-// do sends in and decodes the answer into out; either may be nil.
+// do sends in as the JSON request body and decodes the response into out. Either may be
+// nil.
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	return clientError(c.server.Do(ctx, method, path, in, out), time.Now())
 }
 
-// clientError returns err as a *verdict.Error: with the verdict that the
-// instance told, or else not run if no connection could be made.
+// clientError converts err to a *verdict.Error. The verdict is the one that the instance
+// sent, or NotRun if no connection was made, or else MayHaveRun.
 func clientError(err error, now time.Time) error {
 	var se *httpjson.StatusError
 	switch {
@@ -145,7 +148,7 @@
 	case !errors.As(err, &se):
 		return verdict.New(verdict.MayHaveRun, 0, err)
 	}
-	v, _ := verdict.Parse(se.Header.Get(verdict.Header)) // Unknown reads as may have run
+	v, _ := verdict.Parse(se.Header.Get(verdict.Header)) // a missing verdict is Unknown, which counts as MayHaveRun
 	e := verdict.New(v, se.Status, err)
 	if s, err := strconv.Atoi(se.Header.Get("Retry-After")); err == nil {
 		e.RetryAt = now.Add(time.Duration(s) * time.Second)
--- a/pkg/entry/config.go
+++ b/pkg/entry/config.go
@@ -13,7 +13,7 @@
 	"github.com/zinnialadder/zinnialadder/pkg/step"
 )
 
-// Defaults of step.Policy, see docs/design/steps.md.
+// Defaults of step.Policy. docs/design/steps.md explains them.
 const (
 	defaultHedgeFactor = 2.0
 	defaultHedgeAfter  = 8
@@ -24,16 +24,16 @@
 	ID         string // unique among entry instances
 	DataCentre string
 	Listen     string // caller-facing HTTP address, such as "127.0.0.1:7400"
-	Advertise  string // address callers are told to use; default Listen
-	PeerListen string // address of the peer protocol; empty for none
-	// PeerAdvertise is the address other instances connect to; default
+	Advertise  string // address that callers are given; default Listen
+	PeerListen string // listen address of the peer protocol; empty disables it
+	// PeerAdvertise is the address that other instances connect to. The default is
 	// PeerListen.
 	PeerAdvertise string
-	// PeerKeepAlive is the period of keepalives on peer links; a link that
-	// does not answer one is closed. Default 5s.
+	// PeerKeepAlive is the interval of keepalives on peer connections. A connection on
+	// which a keepalive is not acknowledged is closed. The default is 5s.
 	PeerKeepAlive time.Duration
-	// Listener and PeerListener, if set, are used in place of listening
-	// on Listen and PeerListen.
+	// Listener and PeerListener, if set, are used instead of listening on Listen and
+	// PeerListen.
 	Listener     net.Listener
 	PeerListener net.Listener
 
@@ -42,55 +42,53 @@
 	Logger   *log.Logger      // default log.Default()
 	Metrics  metrics.Registry // default a new registry
 
-	Tick             time.Duration // control loop period; default 100ms
-	Refresh          time.Duration // catalogue and membership reads; default 1s
-	LeaseTTL         time.Duration // membership lease; default 5s
-	ReportInterval   time.Duration // period of load report rounds; default 1s
-	ReportBudget     int           // load reports read per round; default 6
-	FullReadInterval time.Duration // whole catalogue read even if unchanged; default 30m
-	PlatformTimeout  time.Duration // per platform call; default 2s
-	UpstreamTimeout  time.Duration // per upstream request without a caller deadline; default 60s
-	// IdleTimeout is how long an engine stream may send nothing before the
-	// connection is taken for dead and the generation moves on; default 5s.
+	Tick             time.Duration // interval of the control loop; default 100ms
+	Refresh          time.Duration // interval of catalogue and membership reads; default 1s
+	LeaseTTL         time.Duration // duration of the membership lease; default 5s
+	ReportInterval   time.Duration // interval of load report reads; default 1s
+	ReportBudget     int           // load reports read per ReportInterval; default 6
+	FullReadInterval time.Duration // interval of full catalogue reads, made even if nothing changed; default 30m
+	PlatformTimeout  time.Duration // timeout of a platform call; default 2s
+	UpstreamTimeout  time.Duration // timeout of requests for which the caller sets none; default 60s
+	// IdleTimeout is how long an engine's stream may be silent before the engine is checked
+	// on another connection. If the check does not explain the silence, the generation is
+	// retried elsewhere. The default is 5s.
 	IdleTimeout time.Duration
-	// SweepInterval is the period at which one instance, holding the
-	// sweeper lease, sends samples whose records were left behind; a
-	// record is left alone for SweepGrace after it was made. Defaults 5s
-	// and 10s.
+	// SweepInterval is the interval at which the holder of the sweeper lease sends samples
+	// whose records other instances left behind. The default is 5s.
 	SweepInterval time.Duration
-	SweepGrace    time.Duration
-	// RolloutLeaseTTL is the time of the lease under which one instance
-	// orders a pool's engines to load weights; default 3s.
+	SweepGrace    time.Duration // minimum age of a record for it to be swept; default 10s
+	// RolloutLeaseTTL is the duration of the lease under which one instance orders the
+	// engines of a pool to load weights. The default is 3s.
 	RolloutLeaseTTL     time.Duration
-	OrderTimeout        time.Duration // per load order; default 15s
-	ReportLag           time.Duration // how far load reports may lag; default 500ms
-	RolloutPollInterval time.Duration // report reads of engines being rolled; default 250ms
-	PoolPollInterval    time.Duration // report reads of a whole pool; default 10s
-	// StepPolicy says how stragglers of training steps are treated; its
-	// MaxRunning is taken from the catalogue entry's limit.
+	OrderTimeout        time.Duration // timeout of a load order; default 15s
+	ReportLag           time.Duration // maximum age of the state that a load report describes; default 500ms
+	RolloutPollInterval time.Duration // interval of report reads from engines not yet at the target version; default 250ms
+	PoolPollInterval    time.Duration // interval of report reads from all engines of a pool; default 10s
+	// StepPolicy sets how slow generations of training steps are handled. Its MaxRunning is
+	// set to the limit of the catalogue entry.
 	StepPolicy    step.Policy
-	MaxInFlight   int // requests at once, over all entries; default 512
+	MaxInFlight   int // limit of concurrent requests over all entries; default 512
 	Health        health.Config
-	SlowFrom      float64       // times the median's time from which an engine is slow; see health.NewPaces
-	ShardGroups   int           // groups of a step that one instance runs; default 64
-	ShardLeaseTTL time.Duration // lease of a step's shard; default 3s
-	StepTick      time.Duration // period of a shard's decisions; default 25ms
-	StepRefresh   time.Duration // reads of the steps kept; default 2s
-	// StepRetention is how long a closed step can still be asked about;
-	// default 10m.
+	SlowFrom      float64       // multiple of the usual token time from which an engine is slow; see health.NewTokenTimes
+	ShardGroups   int           // groups of a step in one shard; default 64
+	ShardLeaseTTL time.Duration // duration of the lease of a step's shard; default 3s
+	StepTick      time.Duration // interval of a shard's control loop; default 25ms
+	StepRefresh   time.Duration // interval of reads of the stored steps; default 2s
+	// StepRetention is how long the status of a closed step can be read. The default is
+	// 10m.
 	StepRetention time.Duration
-	// MemberRetention is how long after its lease ran out a member's row is
-	// kept; default 10m. Rows and steps past their time are removed every
-	// PurgeInterval; default 5m.
+	// MemberRetention is how long the row of a member is kept after its lease expired. The
+	// default is 10m.
 	MemberRetention time.Duration
-	PurgeInterval   time.Duration
-	// DrainNotice is how long a draining instance keeps listening, to tell
-	// callers to move; default 1s.
+	PurgeInterval   time.Duration // interval of deletions of expired rows and steps; default 5m
+	// DrainNotice is how long a draining instance keeps listening to redirect callers. The
+	// default is 1s.
 	DrainNotice time.Duration
-	RouteTTL    time.Duration // how long callers may cache a route answer; default 30s
+	RouteTTL    time.Duration // how long callers may cache a RouteResponse; default 30s
 }
 
-// setDefaults fills in what was left out.
+// setDefaults sets fields that are zero to their defaults.
 func (c *Config) setDefaults() {
 	c.setTimes()
 	c.setCounts()
@@ -105,7 +103,7 @@
 		c.Metrics = metrics.NewRegistry()
 	}
 	if c.Platform != nil {
-		c.Platform = c.Platform.WithTimeout(c.PlatformTimeout) // a slow platform gives callers a prompt refusal
+		c.Platform = c.Platform.WithTimeout(c.PlatformTimeout) // requests are rejected promptly if the platform is slow
 	}
 }
 
--- a/pkg/entry/deadline.go
+++ b/pkg/entry/deadline.go
@@ -11,24 +11,25 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// TimeoutHeader is the header by which a caller says how many milliseconds
-// it will wait. It is a span on the wire, since clocks differ, and kept as a
-// deadline from then on.
+// TimeoutHeader is the request header in which a caller states how many milliseconds it
+// waits for the response. It carries a duration rather than a time because clocks differ
+// between machines.
 const TimeoutHeader = "Zinnia-Timeout-Ms"
 
-// maxTimeout bounds what a caller may ask for.
+// maxTimeout is the maximum value of TimeoutHeader.
 const maxTimeout = time.Hour
 
-var errDeadline = errors.New("the request's deadline passed")
+var errDeadline = errors.New("request deadline exceeded")
 
-// withDeadline returns r's context with the request's deadline: the
-// caller's, or else UpstreamTimeout from now.
+// withDeadline returns r's context with the request's deadline, which is the caller's
+// timeout or else UpstreamTimeout from now. It returns a NotRun error if the header is
+// malformed.
 func (in *Instance) withDeadline(r *http.Request) (context.Context, context.CancelFunc, error) {
 	wait := in.cfg.UpstreamTimeout
 	if h := r.Header.Get(TimeoutHeader); h != "" {
 		ms, err := strconv.ParseInt(h, 10, 64)
 		if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() {
-			return nil, nil, verdict.BadRequest("%s: %q: want 1 to %d milliseconds", TimeoutHeader, h, maxTimeout.Milliseconds())
+			return nil, nil, verdict.BadRequest("header %s: got %q, want 1 to %d milliseconds", TimeoutHeader, h, maxTimeout.Milliseconds())
 		}
 		wait = time.Duration(ms) * time.Millisecond
 	}
@@ -36,12 +37,12 @@
 	return ctx, cancel, nil
 }
 
-// timedOut returns err, or, if the request's deadline has passed, the answer
-// that says so with the verdict of err.
+// timedOut returns err. If err is not nil and the request's deadline has passed, it returns
+// a 504 error with the verdict of err instead.
 func (in *Instance) timedOut(ctx context.Context, err error) error {
 	if err == nil || !errors.Is(context.Cause(ctx), errDeadline) {
 		return err
 	}
 	return &verdict.Error{Verdict: verdict.Of(err), Status: http.StatusGatewayTimeout,
-		RetryAt: in.comeBackAt(), Err: fmt.Errorf("%w: %w", errDeadline, err)}
+		RetryAt: in.defaultRetryAt(), Err: fmt.Errorf("%w: %w", errDeadline, err)}
 }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -1,11 +1,10 @@
-// Package entry is an entry instance: it answers callers over HTTP, picks
-// the upstream for each request from the catalogue, forwards it, returns
-// the whole answer with a verdict, and turns training answers into
-// samples delivered to their trainers.
+// Package entry implements an entry instance. It accepts callers' requests over HTTP,
+// selects an upstream for each from the catalogue, forwards the request, and returns the
+// complete response with a verdict. Responses of training entries become samples, which it
+// delivers to their trainers.
 //
-// Callers first ask GET /v1/route which instance to use, cache the answer
-// until its expires_at, and connect there themselves; no balancer stands
-// in front.
+// Callers first ask GET /v1/route which instance to use, cache the response until its
+// expires_at, and connect to that instance directly. There is no load balancer.
 package entry
 
 import (
@@ -36,11 +35,12 @@
 
 const memberPrefix = "member/"
 
-// reportIdleTimeout is how long a connection for load reports is kept: long
-// enough to serve the next report where engines are few.
+// reportIdleTimeout is how long an idle connection for load reports is kept open. If there
+// are few engines, the connection is still open for the next report.
 const reportIdleTimeout = 3 * time.Second
 
-// The retry budget: a fifth of the requests, and what is saved up.
+// The retry budget: a fifth of the number of requests, of which up to retryBurst retries
+// can be saved up.
 const (
 	retryRatio = 0.2
 	retryBurst = 100
@@ -55,34 +55,35 @@
 	view   atomic.Pointer[View]
 	events chan control.Event
 	group  *errgroup.Group
-	sends  errgroup.Group // sample sends after their requests answered
+	sends  errgroup.Group // sample deliveries that outlive their requests
 	steps  errgroup.Group // shards of training steps
-	// stepsCtx ends when the instance drains: its shards go to others.
-	stepsCtx  context.Context
-	stopSteps context.CancelFunc
-	// leaveSends ends the sends of recorded samples; others send them.
-	sendsCtx   context.Context
-	leaveSends context.CancelFunc
-	http       *http.Client
-	reportHTTP *http.Client // for load reports: its connections are kept briefly, as engines are many
-	policy     route.Policy
-	load       admission.InFlight
-	paces      *health.TokenTimes
-	health     *health.Tracker
-	retries    *retry.Budget
-	peers      *peer.Hints
-	// life tells this process from earlier ones with the same ID, and
-	// attempts numbers its claims on non-idempotent calls.
-	life     string
-	attempts atomic.Uint64
-	samples  *delivery.Sender
-	// quarantine is what is known of requests that crash upstreams.
-	quarantine *quarantine.Syncer
-	stats      *counters
-	keepers    sync.Map // pool → its *lease.Keeper
+	// stepsCtx is cancelled when the instance drains. Other instances take over its shards.
+	stepsCtx    context.Context
+	cancelSteps context.CancelFunc
+	// sendsCtx is cancelled by cancelSends to stop deliveries of recorded samples. The
+	// sweeper delivers them later.
+	sendsCtx    context.Context
+	cancelSends context.CancelFunc
+	http        *http.Client
+	reportHTTP  *http.Client // for load reports; idle connections are closed soon because there are many engines
+	policy      route.Policy
+	load        admission.InFlight
+	tokenTimes  *health.TokenTimes
+	health      *health.Tracker
+	retries     *retry.Budget
+	peers       *peer.Hints
+	// processID distinguishes this process from earlier ones with the same ID.
+	processID string
+	attempts  atomic.Uint64
+	samples   *delivery.Sender
+	// quarantine holds the fingerprints of requests that crash upstreams.
+	quarantine    *quarantine.Syncer
+	stats         *counters
+	rolloutLeases sync.Map // pool name to *lease.Manager
 }
 
-// New checks cfg and returns an Instance that is not yet serving.
+// New checks cfg and returns an Instance that does not serve yet. It returns an error if a
+// required field is missing.
 func New(cfg Config) (*Instance, error) {
 	cfg.setDefaults()
 	if cfg.ID == "" || cfg.DataCentre == "" || cfg.Listen == "" || cfg.Platform == nil {
@@ -102,24 +103,24 @@
 		reportHTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: reportIdleTimeout}},
 		policy:     route.Policy{Slack: affinitySlack},
 		health:     health.NewTracker(cfg.Health),
-		paces:      health.NewTokenTimes(cfg.SlowFrom),
+		tokenTimes: health.NewTokenTimes(cfg.SlowFrom),
 		retries:    retry.NewBudget(retryRatio, retryBurst),
 		stats:      newCounters(cfg.Metrics),
-		life:       newLife(),
+		processID:  newProcessID(),
 	}
-	in.stepsCtx, in.stopSteps = context.WithCancel(context.Background())
-	in.sendsCtx, in.leaveSends = context.WithCancel(context.Background())
+	in.stepsCtx, in.cancelSteps = context.WithCancel(context.Background())
+	in.sendsCtx, in.cancelSends = context.WithCancel(context.Background())
 	in.view.Store(control.New(in.self, in.timing).View)
-	in.peers = newLinks(in)
+	in.peers = newHints(in)
 	in.quarantine = newQuarantine(in)
 	in.samples = delivery.NewSender(delivery.Config{Platform: cfg.Platform, Clock: cfg.Clock, Logger: cfg.Logger, HTTP: in.http,
-		View: in.View, NewAttemptID: in.attempt, SendContext: in.sendsCtx, Counters: in.stats.delivery,
+		View: in.View, NewAttemptID: in.newAttemptID, SendContext: in.sendsCtx, Counters: in.stats.delivery,
 		Go: func(f func() error) { in.sends.Go(f) }})
 	return in, nil
 }
 
-// Run serves until ctx ends, then drains: it stops taking new requests,
-// tells callers to move, and waits for requests in flight to finish.
+// Run serves until ctx is done and then drains: it rejects new requests, tells callers to
+// use another instance, and waits for requests in flight.
 func (in *Instance) Run(ctx context.Context) error {
 	ln := in.cfg.Listener
 	if ln == nil {
@@ -152,41 +153,42 @@
 // Addr returns the caller-facing address of the instance.
 func (in *Instance) Addr() string { return in.cfg.Advertise }
 
-// drainSends is how long a drain waits for trainers to acknowledge recorded
-// samples before it leaves them to the instance that sweeps.
-const drainSends = 2 * time.Second
+// drainSendTimeout is how long a draining instance waits for trainers to acknowledge
+// recorded samples. The sweeper delivers the rest.
+const drainSendTimeout = 2 * time.Second
 
-// drain tells callers for a while to move, stops new work, and waits for
-// requests in flight.
+// drain rejects new requests, stops the shards so that other instances take them over,
+// keeps listening for DrainNotice to redirect callers, and then waits for requests in
+// flight and sample deliveries.
 func (in *Instance) drain(srv *http.Server) {
 	in.events <- control.DrainStarted{}
-	in.cfg.Logger.Info("shutdown begun; finishing requests in flight", "in_flight", in.load.Total(entryPlace))
-	in.stopSteps()
+	in.cfg.Logger.Info("shutdown started; waiting for requests in flight", "in_flight", in.load.Total(entryKeyPrefix))
+	in.cancelSteps()
 	time.Sleep(in.cfg.DrainNotice)
 	_ = srv.Shutdown(context.Background())
 	_ = in.steps.Wait()
-	leave := time.AfterFunc(drainSends, in.leaveSends)
+	leave := time.AfterFunc(drainSendTimeout, in.cancelSends)
 	defer leave.Stop()
 	_ = in.sends.Wait()
-	in.cfg.Logger.Info("shutdown done")
+	in.cfg.Logger.Info("shutdown complete")
 }
 
-// attempt returns a name that no other attempt of any instance has.
-func (in *Instance) attempt() string {
-	return fmt.Sprintf("%s/%s/%d", in.cfg.ID, in.life, in.attempts.Add(1))
+// newAttemptID returns an ID that is unique among all attempts of all instances.
+func (in *Instance) newAttemptID() string {
+	return fmt.Sprintf("%s/%s/%d", in.cfg.ID, in.processID, in.attempts.Add(1))
 }
 
-// newLife returns a random name for this process's life.
-func newLife() string {
+// newProcessID returns a random ID for this process.
+func newProcessID() string {
 	var b [6]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// Counter returns the value of the named counter of GET /metrics.
+// Counter returns the value of a counter by its name in GET /metrics.
 func (in *Instance) Counter(name string) int64 {
 	return metrics.GetOrRegisterCounter(name, in.cfg.Metrics).Count()
 }
 
-// View returns the control state traffic is using now.
+// View returns the current control state.
 func (in *Instance) View() *View { return in.view.Load() }
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -15,14 +15,14 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// startSite starts a site with the given engines and entry instances and a
-// catalogue of one training entry and one service entry for customer minho.
+// startSite starts a site with the given numbers of engines and entry instances, and a
+// catalogue with a training, an interactive and a service entry of customer minho.
 func startSite(t testing.TB, engines, entries int, ec enginetest.Config) *site.Site {
 	t.Helper()
 	return startSiteWith(t, engines, entries, ec, func(*site.Config) {})
 }
 
-// startSiteWith is startSite after adjust has changed the site's configuration.
+// startSiteWith is like startSite but calls adjust to change the site's configuration.
 func startSiteWith(t testing.TB, engines, entries int, ec enginetest.Config, adjust func(*site.Config)) *site.Site {
 	t.Helper()
 	if ec.TokenInterval == 0 {
@@ -57,8 +57,8 @@
 	return s
 }
 
-// generate sends req to the instance at addr and returns the answer's
-// status, its text and its last event.
+// generate sends req to the instance at addr and returns the response's status, text and
+// last event.
 func generate(t testing.TB, addr string, req entry.GenerateRequest) (int, string, entry.Event) {
 	t.Helper()
 	a, err := entry.NewClient(addr, nil).Generate(context.Background(), req)
@@ -68,7 +68,7 @@
 	return a.Status, a.Text, a.Last
 }
 
-// statusOf returns the status of the answer that err tells of: 200 for nil.
+// statusOf returns the HTTP status that err describes, which is 200 if err is nil.
 func statusOf(t testing.TB, err error) int {
 	t.Helper()
 	var e *verdict.Error
@@ -82,29 +82,29 @@
 	return 0
 }
 
-func TestGenerateLabelsAndDeliversOnce(t *testing.T) {
+func TestGenerateRecordsVersionAndDeliversOnce(t *testing.T) {
 	s := startSite(t, 3, 2, enginetest.Config{WeightVersion: 4})
 	req := entry.GenerateRequest{Customer: "minho", Entry: "drafts", RequestID: "r1", Prompt: "hello", MaxTokens: 20}
 	status, text, last := generate(t, s.Entries[0].Addr(), req)
 	if status != http.StatusOK || !last.Done || last.Tokens != 20 || text == "" {
-		t.Fatalf("status %d, last %+v", status, last)
+		t.Fatalf("got status %d and last event %+v, want 200 and 20 tokens", status, last)
 	}
 	if len(last.WeightVersions) != 1 || last.WeightVersions[0] != 4 {
-		t.Fatalf("labels %v, want [4]", last.WeightVersions)
+		t.Fatalf("got weight versions %v, want [4]", last.WeightVersions)
 	}
-	// The sample is sent after the caller's answer; its record was made before.
+	// The sample is sent after the response, but recorded before it.
 	deadline := time.Now().Add(5 * time.Second)
 	for len(s.Trainer.Received()) == 0 && time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
 	}
-	time.Sleep(50 * time.Millisecond) // room for a second delivery to show
+	time.Sleep(50 * time.Millisecond) // long enough for a second delivery to be noticed
 	got := s.Trainer.Received()
 	if len(got) != 1 || got[0].Deliveries != 1 || got[0].Sample.ID != last.SampleID || got[0].Sample.Text != text {
-		t.Fatalf("trainer holds %+v", got)
+		t.Fatalf("trainer got %+v, want one delivery of the response's sample", got)
 	}
 }
 
-func TestBadInputIsRefusedNotRun(t *testing.T) {
+func TestInvalidGenerateIsRejected(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{})
 	cases := map[string]struct {
 		body string
@@ -124,10 +124,10 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != c.want || resp.Header.Get(verdict.Header) != "not_run" {
-			t.Errorf("%s: status %d verdict %q, want %d not_run", name, resp.StatusCode, resp.Header.Get(verdict.Header), c.want)
+			t.Errorf("%s: got status %d and verdict %q, want %d and not_run", name, resp.StatusCode, resp.Header.Get(verdict.Header), c.want)
 		}
 	}
 	if n := s.Engines[0].Requests(); n != 0 {
-		t.Errorf("engine saw %d requests for refused input", n)
+		t.Errorf("engine got %d requests for rejected input, want 0", n)
 	}
 }
--- a/pkg/entry/generate.go
+++ b/pkg/entry/generate.go
@@ -14,14 +14,14 @@
 type GenerateRequest struct {
 	Customer  string `json:"customer"`
 	Entry     string `json:"entry"`
-	RequestID string `json:"request_id"` // names the request; a sample's ID derives from it
+	RequestID string `json:"request_id"` // chosen by the caller; the sample ID is derived from it
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
-	Group     string `json:"group,omitempty"` // training step group, for samples
+	Group     string `json:"group,omitempty"` // group of a training step, for samples
 }
 
-// Event is one line of a generation's answer. Text events carry tokens;
-// the last event has Done set, or Error with the verdict.
+// Event is one line of the response to a generation. Events with Text carry tokens. The
+// last event has either Done set, or Error and Verdict.
 type Event struct {
 	Text           string           `json:"text,omitempty"`
 	WeightVersion  uint64           `json:"weight_version,omitempty"`
@@ -34,8 +34,8 @@
 }
 
 var (
-	errNoInstance = errors.New("no entry instance is accepting callers")
-	errDraining   = errors.New("this entry instance is draining; ask /v1/route again")
+	errNoInstance = errors.New("no entry instance accepts callers")
+	errDraining   = errors.New("this entry instance is draining; get another one from /v1/route")
 )
 
 func (r GenerateRequest) target() (customer, entry string) { return r.Customer, r.Entry }
@@ -47,7 +47,7 @@
 	case r.Entry == "":
 		return verdict.BadRequest("generate: entry is required")
 	case r.RequestID == "" || len(r.RequestID) > 128 || strings.ContainsAny(r.RequestID, "/ \n") || !printable(r.RequestID):
-		return verdict.BadRequest("generate: request_id is required: up to 128 characters, no '/' or spaces")
+		return verdict.BadRequest("generate: request_id is required, up to 128 characters, without '/', spaces or control characters")
 	case r.MaxTokens <= 0:
 		return verdict.BadRequest("generate: max_tokens must be positive")
 	}
@@ -58,14 +58,14 @@
 	var req GenerateRequest
 	serve(in, w, r, &req, func(ctx context.Context, _ *View, e catalogue.Entry) error {
 		if req.MaxTokens > e.Limits.MaxTokens {
-			return verdict.BadRequest("generate: max_tokens %d is over entry %s's limit of %d", req.MaxTokens, e.Name, e.Limits.MaxTokens)
+			return verdict.BadRequest("generate: max_tokens %d exceeds entry %s's limit of %d", req.MaxTokens, e.Name, e.Limits.MaxTokens)
 		}
 		return in.generate(ctx, w, e, req)
 	})
 }
 
-// generate runs one generation and writes its events. It returns the error
-// of one of which nothing was written.
+// generate runs one generation and writes its events. It returns an error only if it has
+// written nothing.
 func (in *Instance) generate(ctx context.Context, w http.ResponseWriter, e catalogue.Entry, req GenerateRequest) error {
 	started := false
 	g := &generation{in: in, entry: e, req: req, emit: func(ev Event) error {
--- a/pkg/entry/generation.go
+++ b/pkg/entry/generation.go
@@ -17,35 +17,34 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// Bounds of one generation's attempts: those that reached an engine, and
-// all.
+// Limits of one generation's attempts.
 const (
-	maxAttempts = 3
-	maxTried    = 8
+	maxAttempts = 3 // attempts that reached an engine
+	maxTried    = 8 // all attempts
 )
 
-// generation is one caller's generation in progress.
+// generation is the state of a caller's generation.
 type generation struct {
-	in     *Instance
-	entry  catalogue.Entry
-	req    GenerateRequest
-	emit   func(Event) error // hands an event to the caller
-	text   strings.Builder
-	tokens int
-	labels []uint64          // weight versions that produced the text, in order
-	tried  []string          // engines tried, since every one was
-	using  func(addr string) // told of each engine tried; may be nil
-	// reached is set once an engine may have begun work on it.
+	in       *Instance
+	entry    catalogue.Entry
+	req      GenerateRequest
+	emit     func(Event) error // sends an event to the caller
+	text     strings.Builder
+	tokens   int
+	versions []uint64          // weight versions that produced the text, in order, without consecutive repetitions
+	tried    []string          // engines tried; cleared once all have been tried
+	onEngine func(addr string) // called with the address of each engine tried; may be nil
+	// reached is set once an engine may have started the request.
 	reached bool
 }
 
-// errTooStale ends a training generation whose first version is older than
-// its entry allows: it can no longer become a sample.
-var errTooStale = errors.New("generation began under a weight version that is now too old")
+// errTooStale ends a training generation whose first weight version has become older than
+// its entry allows, so that it can no longer become a sample.
+var errTooStale = errors.New("generation started with a weight version that is now too old")
 
-// run tries engines until the generation is whole. A stream cut after some
-// tokens resumes on another engine from where it stopped. Engines that take
-// no connection cost no attempt, since nothing was asked of them.
+// run tries engines until the generation is complete. A stream that is cut off after some
+// tokens is resumed on another engine. Engines that refuse the connection do not count as
+// attempts because they received nothing.
 func (g *generation) run(ctx context.Context) (Event, error) {
 	g.in.retries.Earn()
 	var last error
@@ -66,16 +65,16 @@
 			break
 		}
 		g.tried = append(g.tried, addr)
-		if g.using != nil {
-			g.using(addr)
+		if g.onEngine != nil {
+			g.onEngine(addr)
 		}
-		done, err := g.stream(ctx, addr)
+		done, err := g.attempt(ctx, addr)
 		if done {
 			g.in.health.RecordSuccess(addr)
-			return Event{Done: true, WeightVersions: g.labels, Tokens: g.tokens}, nil
+			return Event{Done: true, WeightVersions: g.versions, Tokens: g.tokens}, nil
 		}
 		last = err
-		if ctx.Err() != nil || errors.Is(err, errTooStale) || errors.Is(err, errCaller) || errors.Is(err, quarantine.ErrQuarantined) {
+		if ctx.Err() != nil || errors.Is(err, errTooStale) || errors.Is(err, errCallerGone) || errors.Is(err, quarantine.ErrQuarantined) {
 			break
 		}
 		g.in.upstreamFailed(addr, err)
@@ -87,15 +86,15 @@
 			g.in.stats.resumed.Inc(1)
 		}
 	}
-	return Event{}, g.failure(last)
+	return Event{}, g.finalError(last)
 }
 
-// upstreamFailed counts a request to the upstream at addr that err ended.
-// After one that got no answer in time no idle connection is used again: the
-// others may have gone silent with it.
+// upstreamFailed records that err ended a request to the upstream at addr. After a timeout
+// it closes all idle connections, because the others may have become unresponsive for the
+// same reason.
 func (in *Instance) upstreamFailed(addr string, err error) {
 	in.stats.upstreamErrors.Inc(1)
-	if errors.Is(err, errIdle) || errors.Is(err, context.DeadlineExceeded) {
+	if errors.Is(err, errIdleTimeout) || errors.Is(err, context.DeadlineExceeded) {
 		in.http.CloseIdleConnections()
 	}
 	if in.health.RecordFailure(addr, in.cfg.Clock.Now(), httpjson.NotSent(err)) {
@@ -104,27 +103,26 @@
 	}
 }
 
-// failure is the verdict of a generation that could not be completed. A
-// generation has no side effects beyond the engine's work, so the caller
-// may retry it whatever happened; NotRun is said only if no engine was
-// reached.
-func (g *generation) failure(err error) error {
+// finalError returns the error of a generation that could not be completed. A generation has
+// no side effects other than the engine's work, so callers may always retry it. The verdict
+// is NotRun only if no engine was reached.
+func (g *generation) finalError(err error) error {
 	v, status := verdict.MayHaveRun, http.StatusBadGateway
 	if !g.reached && g.tokens == 0 {
 		v, status = verdict.NotRun, http.StatusServiceUnavailable
 	}
-	retryAt := g.in.comeBackAt()
+	retryAt := g.in.defaultRetryAt()
 	var refused *quarantine.RefusedError
 	if errors.As(err, &refused) {
 		retryAt = refused.Until
 	}
 	return &verdict.Error{Verdict: v, Status: status, RetryAt: retryAt,
-		Err: fmt.Errorf("generate: gave up: %w", err)}
+		Err: fmt.Errorf("generate: no engine completed the request: %w", err)}
 }
 
-// pick chooses an engine not yet tried, or, when all have been, any again:
-// what failed may have been a connection, not the engine. It takes a place
-// at the engine.
+// pick selects an engine that has not been tried, or any engine if all have been, because a
+// failure may have been of the connection rather than the engine. It reserves a slot at the
+// engine.
 func (g *generation) pick() (string, error) {
 	addr, err := g.pickUntried()
 	if err != nil && len(g.tried) > 0 {
@@ -134,8 +132,8 @@
 	return addr, err
 }
 
-// pickUntried chooses a live engine of the entry's pool not yet tried, a
-// healthy one that is not loading weights if there is one.
+// pickUntried selects a live engine of the entry's pool that has not been tried. It prefers
+// engines that are neither ejected nor loading weights.
 func (g *generation) pickUntried() (string, error) {
 	view := g.in.View()
 	var ups []catalogue.Upstream
@@ -149,18 +147,18 @@
 	if addr, ok := g.in.choose(view, ups, loading, affinity(g.req.Prompt)); ok {
 		return addr, nil
 	}
-	return "", g.in.noUpstream(g.entry)
+	return "", g.in.noUpstreamError(g.entry)
 }
 
-// tooStale reports whether the engine at addr last reported a weight
-// version older than the entry allows.
+// tooStale reports whether the last weight version that the engine at addr reported is
+// older than the entry allows.
 func (g *generation) tooStale(v *View, addr string) bool {
 	rep, ok := v.Report(addr)
 	return ok && v.VersionTooOld(g.entry, rep.WeightVersion)
 }
 
-// affinityLen is how much of a prompt decides which engine's prefix cache
-// a request prefers.
+// affinityLen is the length in bytes of the prompt prefix that determines which engine's
+// prefix cache a request prefers.
 const affinityLen = 64
 
 func affinity(prompt string) string {
@@ -170,30 +168,31 @@
 	return prompt
 }
 
-// content is what identifies the generation whatever its request's ID.
+// content returns what is fingerprinted for the quarantine. It does not include the request
+// ID.
 func (g *generation) content() quarantine.Content {
 	return quarantine.Content{Host: g.req.Customer, URI: g.req.Entry, Body: []byte(g.req.Prompt)}
 }
 
-// stream runs one attempt on the engine at addr, relaying chunks to the
-// caller. It reports whether the generation is now whole.
-func (g *generation) stream(ctx context.Context, addr string) (bool, error) {
-	defer g.in.load.Release(addr) // taken by pick
-	guarded, err := g.in.quarantine.Guard.Begin(ctx, g.content(), at(g.entry.Pool, addr))
+// attempt runs one attempt on the engine at addr under the quarantine's guard and relays
+// chunks to the caller. It reports whether the generation is complete.
+func (g *generation) attempt(ctx context.Context, addr string) (bool, error) {
+	defer g.in.load.Release(addr) // reserved by pick
+	guarded, err := g.in.quarantine.Guard.Begin(ctx, g.content(), upstreamEntry(g.entry.Pool, addr))
 	if err != nil {
 		return false, err
 	}
-	done, err := g.ask(ctx, addr)
+	done, err := g.stream(ctx, addr)
 	o := outcomeOf(ctx, err)
-	if errors.Is(err, errIdle) || errors.Is(err, errTooStale) {
+	if errors.Is(err, errIdleTimeout) || errors.Is(err, errTooStale) {
 		o = quarantine.Abandoned
 	}
 	guarded.Done(ctx, o)
 	return done, err
 }
 
-// ask is stream without a guard.
-func (g *generation) ask(ctx context.Context, addr string) (bool, error) {
+// stream runs one attempt without the guard.
+func (g *generation) stream(ctx context.Context, addr string) (bool, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	req := engine.GenerateRequest{
@@ -202,8 +201,8 @@
 		MaxTokens: g.req.MaxTokens - g.tokens,
 		Priority:  g.entry.Class.Priority(),
 	}
-	quiet := g.in.watchSilence(ctx, cancel, addr, req.RequestID)
-	defer quiet.stop()
+	monitor := g.in.startWatchdog(ctx, cancel, addr, req.RequestID)
+	defer monitor.stop()
 	s, err := engine.NewClient(addr, g.in.http).Generate(ctx, req)
 	if err != nil {
 		return false, attemptError(ctx, err)
@@ -212,17 +211,17 @@
 	if s.HasLoad {
 		g.in.View().Loads.PutLoad(addr, s.Load, g.in.load.Get(addr))
 	}
-	watch := paceWatch{clock: g.in.cfg.Clock}
-	defer watch.tell(g.in.paces, addr)
+	timer := tokenTimer{clock: g.in.cfg.Clock}
+	defer timer.record(g.in.tokenTimes, addr)
 	for index := 0; ; {
 		c, err := s.Next()
 		if err != nil {
 			return false, attemptError(ctx, err)
 		}
-		quiet.heard()
-		watch.heard()
-		switch err := follows(c, req.RequestID, index); {
-		case errors.Is(err, errDuplicate):
+		monitor.received()
+		timer.received()
+		switch err := checkChunk(c, req.RequestID, index); {
+		case errors.Is(err, errRepeatedChunk):
 			continue
 		case err != nil:
 			return false, err
@@ -236,59 +235,60 @@
 	}
 }
 
-// Reasons a chunk is not the next one of its stream.
+// Reasons why a chunk is not the next one of its stream.
 var (
-	errForeign   = errors.New("engine sent a chunk of another request")
-	errGap       = errors.New("engine left out a chunk")
-	errDuplicate = errors.New("engine sent a chunk again")
+	errForeignChunk  = errors.New("engine sent a chunk of another request")
+	errSkippedChunk  = errors.New("engine skipped a chunk")
+	errRepeatedChunk = errors.New("engine repeated a chunk")
 )
 
-// follows reports whether c is the chunk at index of the stream of id, or
-// why not.
-func follows(c engine.Chunk, id string, index int) error {
+// checkChunk returns nil if c is the chunk at index of the stream of request id, and
+// otherwise the reason why it is not.
+func checkChunk(c engine.Chunk, id string, index int) error {
 	switch {
 	case c.RequestID != id:
-		return errForeign
+		return errForeignChunk
 	case c.Index > index:
-		return errGap
+		return errSkippedChunk
 	case c.Index < index:
-		return errDuplicate
+		return errRepeatedChunk
 	}
 	return nil
 }
 
-// errCaller ends a generation whose caller can no longer be answered.
-var errCaller = errors.New("caller gone")
+// errCallerGone ends a generation if writing to its caller fails.
+var errCallerGone = errors.New("caller closed the connection")
 
-// errIdle ends an attempt whose engine sent nothing for IdleTimeout.
-var errIdle = errors.New("engine sent nothing within the idle timeout")
+// errIdleTimeout ends an attempt whose engine was silent for IdleTimeout without a reason,
+// see watchdog.
+var errIdleTimeout = errors.New("engine sent nothing within the idle timeout")
 
-// attemptError names the cause of an attempt's end: the idle timeout if it
-// fired, else err.
+// attemptError returns err, wrapped in errIdleTimeout if that is why ctx was cancelled.
 func attemptError(ctx context.Context, err error) error {
-	if cause := context.Cause(ctx); errors.Is(cause, errIdle) {
-		return fmt.Errorf("%w: %v", errIdle, err)
+	if cause := context.Cause(ctx); errors.Is(cause, errIdleTimeout) {
+		return fmt.Errorf("%w: %v", errIdleTimeout, err)
 	}
 	return err
 }
 
-// relay passes one chunk to the caller and records its version.
+// relay sends one chunk to the caller and records its weight version. It returns
+// errTooStale if that makes a training generation too old.
 func (g *generation) relay(c engine.Chunk) error {
-	if n := len(g.labels); n == 0 || g.labels[n-1] != c.WeightVersion {
-		g.labels = append(g.labels, c.WeightVersion)
+	if n := len(g.versions); n == 0 || g.versions[n-1] != c.WeightVersion {
+		g.versions = append(g.versions, c.WeightVersion)
 	}
-	if g.entry.Class == catalogue.Training && g.in.View().VersionTooOld(g.entry, slices.Min(g.labels)) {
+	if g.entry.Class == catalogue.Training && g.in.View().VersionTooOld(g.entry, slices.Min(g.versions)) {
 		return errTooStale
 	}
 	g.text.WriteString(c.Text)
 	g.tokens++
 	if err := g.emit(Event{Text: c.Text, WeightVersion: c.WeightVersion}); err != nil {
-		return fmt.Errorf("%w: %v", errCaller, err)
+		return fmt.Errorf("%w: %v", errCallerGone, err)
 	}
 	return nil
 }
 
-// sample returns the training sample that the finished generation makes.
+// sample returns the training sample made from the completed generation.
 func (g *generation) sample(res Event) trainer.Sample {
 	return trainer.Sample{
 		ID:             g.req.Customer + "." + g.entry.Name + "." + g.req.RequestID,
--- a/pkg/entry/hints.go
+++ b/pkg/entry/hints.go
@@ -9,8 +9,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/peer"
 )
 
-// newLinks returns the links over which in tells its peers what it learned.
-func newLinks(in *Instance) *peer.Hints {
+// newHints returns the hints with which in notifies its peers of changes.
+func newHints(in *Instance) *peer.Hints {
 	return peer.NewHints(peer.HintsConfig{
 		Listener: in.cfg.PeerListener, Listen: in.cfg.PeerListen, KeepAlive: in.cfg.PeerKeepAlive,
 		Go:      func(f func() error) { in.group.Go(f) },
@@ -21,7 +21,7 @@
 	})
 }
 
-// hintTargets returns the addresses of the peers that in sends hints to.
+// hintTargets returns the peer addresses to which in sends hints.
 func (in *Instance) hintTargets() []string {
 	members := in.View().Members
 	self := slices.IndexFunc(members, func(m Member) bool { return m.ID == in.cfg.ID })
@@ -34,7 +34,7 @@
 	return out
 }
 
-// hint returns the message of an effect that tells peers something.
-func (in *Instance) hint(e control.NotifyPeers) *peerpb.Hint {
+// hintMessage returns the peer message for e.
+func (in *Instance) hintMessage(e control.NotifyPeers) *peerpb.Hint {
 	return &peerpb.Hint{From: in.cfg.ID, CatalogueRevision: e.Revision, Draining: e.Draining, Steps: e.Steps}
 }
--- a/pkg/entry/door_test.go
+++ b/pkg/entry/input_test.go
@@ -13,8 +13,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// A key that was used for another request gives nobody that request's answer.
-func TestKeyOfAnotherRequest(t *testing.T) {
+// An idempotency key that is reused for a different request must be rejected. It must not
+// return the response of the first request.
+func TestIdempotencyKeyOfAnotherRequest(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{})
 	call := func(method, body string) (entry.CallResponse, error) {
 		return entry.NewClient(s.Entries[0].Addr(), nil).Call(context.Background(), entry.CallRequest{Customer: "minho", Entry: "plans",
@@ -24,18 +25,17 @@
 		t.Fatal(err)
 	}
 	if ans, err := call("log", `{"plan":1}`); err != nil || !ans.Replayed {
-		t.Fatalf("the same request again: %+v %v", ans, err)
+		t.Fatalf("same request again: got %+v, %v; want a replayed response", ans, err)
 	}
 	for _, other := range [][2]string{{"log", `{"plan":2}`}, {"cancel", `{"plan":1}`}} {
 		if ans, err := call(other[0], other[1]); statusOf(t, err) != http.StatusUnprocessableEntity || verdict.Of(err) != verdict.NotRun {
-			t.Fatalf("%v: %+v %v", other, ans, err)
+			t.Fatalf("reused key with %v: got %+v, %v; want status 422 and not_run", other, ans, err)
 		}
 	}
 }
 
-// Input that no request can be made of is refused at the door, as not run, with
-// the reason.
-func TestBadInputAtTheDoor(t *testing.T) {
+// Invalid calls must be rejected as not_run with the reason.
+func TestInvalidCallIsRejected(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{})
 	post := func(path, body string) (int, string) {
 		resp, err := http.Post("http://"+s.Entries[0].Addr()+path, "application/json", strings.NewReader(body))
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		if v := resp.Header.Get(verdict.Header); v != verdict.NotRun.String() {
-			t.Fatalf("%s: verdict %q, status %d %s", path, v, resp.StatusCode, b)
+			t.Fatalf("%s: got verdict %q (status %d %s), want not_run", path, v, resp.StatusCode, b)
 		}
 		return resp.StatusCode, string(b)
 	}
@@ -62,12 +62,12 @@
 		{`{"customer":"minho","entry":"plans","method":"log","key":"a","body":{}}` + strings.Repeat(" ", 20<<20), "1048576 bytes", http.StatusRequestEntityTooLarge},
 	} {
 		if status, body := post("/v1/call", c.body); status != c.status || !strings.Contains(body, c.names) {
-			t.Errorf("%.80s: %d %s, want %d and %q", c.body, status, body, c.status, c.names)
+			t.Errorf("%.80s: got %d %s, want %d and a text with %q", c.body, status, body, c.status, c.names)
 		}
 	}
 }
 
-// A customer that the catalogue does not know is told no address.
+// A request for the route of an unknown customer must not disclose an address.
 func TestRouteOfUnknownCustomer(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{})
 	for customer, want := range map[string]int{"minho": http.StatusOK, "nobody": http.StatusNotFound} {
@@ -77,7 +77,7 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != want {
-			t.Errorf("%s: status %d, want %d", customer, resp.StatusCode, want)
+			t.Errorf("route of customer %s: got status %d, want %d", customer, resp.StatusCode, want)
 		}
 	}
 }
--- a/pkg/entry/keys_test.go
+++ b/pkg/entry/keys_test.go
@@ -16,9 +16,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// A customer that has keys is served with one of them only, on every call; a key that
-// is taken away serves no more.
-func TestCustomersKeys(t *testing.T) {
+// A customer that has API keys is served only with a valid key, by every endpoint, and no
+// longer once the key is deleted.
+func TestCustomerKeys(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{Slots: 4})
 	ctx, store := context.Background(), platform.NewClient(s.PlatformURL, nil)
 	if err := s.Apply(catalogue.File{Customers: []catalogue.Customer{{Name: "minho", MaxInFlight: 8, KeyDigests: []string{catalogue.KeyDigest("one"), catalogue.KeyDigest("two")}}}}); err != nil {
@@ -48,7 +48,7 @@
 		"read a step": func(c *entry.Client) error {
 			_, err := c.Step(ctx, "minho", "drafts", "s1")
 			if ve := new(verdict.Error); errors.As(err, &ve) && ve.Status == http.StatusNotFound {
-				return nil // it may not be submitted yet
+				return nil // the step may not have been submitted yet
 			}
 			return err
 		},
@@ -68,12 +68,12 @@
 	for name, call := range calls {
 		for _, c := range []*entry.Client{plain, plain.WithKey("three"), plain.WithKey(catalogue.KeyDigest("one"))} {
 			if err := call(c); !refused(err) {
-				t.Errorf("%s without a key of the customer: %v", name, err)
+				t.Errorf("%s without a valid key: got error %v, want a not_run error with status 401", name, err)
 			}
 		}
 		for _, key := range []string{"one", "two"} {
 			if err := call(plain.WithKey(key)); err != nil {
-				t.Errorf("%s with key %s: %v", name, key, err)
+				t.Errorf("%s with key %s: got error %v", name, key, err)
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 	deadline := time.Now().Add(5 * time.Second)
 	for !refused(calls["route"](plain.WithKey("one"))) {
 		if time.Now().After(deadline) {
-			t.Fatal("a key that was taken away serves on")
+			t.Fatal("deleted key still accepted after 5 s")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/pkg/entry/loop.go
+++ b/pkg/entry/loop.go
@@ -17,15 +17,15 @@
 	"github.com/zinnialadder/zinnialadder/pkg/lease"
 )
 
-// control runs the control goroutine: it owns the state, feeds every event
-// through reduce and carries out the effects. I/O effects run on the
-// group's goroutines and come back as events.
+// control runs the control loop. It owns the state, applies every event to it with
+// control.Reduce and carries out the effects. Effects that need I/O run on other
+// goroutines, which report their results as events.
 func (in *Instance) control(ctx context.Context) error {
 	st := control.New(in.self, in.timing)
 	ticker := time.NewTicker(in.cfg.Tick)
 	defer ticker.Stop()
 	st, effs := control.Reduce(st, control.Tick{At: in.cfg.Clock.Now()})
-	in.run(ctx, effs)
+	in.applyEffects(ctx, effs)
 	for {
 		var ev control.Event
 		select {
@@ -36,16 +36,16 @@
 		case ev = <-in.events:
 		}
 		st, effs = control.Reduce(st, ev)
-		in.run(ctx, effs)
-		if soon(ev) {
+		in.applyEffects(ctx, effs)
+		if wantsTick(ev) {
 			st, effs = control.Reduce(st, control.Tick{At: in.cfg.Clock.Now()})
-			in.run(ctx, effs)
+			in.applyEffects(ctx, effs)
 		}
 	}
 }
 
-// soon reports whether ev asks for a tick at once rather than at its time.
-func soon(ev control.Event) bool {
+// wantsTick reports whether ev must be followed by a tick immediately.
+func wantsTick(ev control.Event) bool {
 	switch ev.(type) {
 	case control.PeerNotified, control.StepAccepted:
 		return true
@@ -53,9 +53,9 @@
 	return false
 }
 
-// shard runs a step's shard on the steps group until it ends or the
-// instance drains.
-func (in *Instance) shard(ctx context.Context, e control.RunShard) {
+// runShard runs a step's shard in the background until the shard ends or the instance
+// drains.
+func (in *Instance) runShard(ctx context.Context, e control.RunShard) {
 	in.steps.Go(func() error {
 		err := shard.Run(in.stepsCtx, in.shardConfig(), e.ID, e.TTL)
 		in.cfg.Logger.Debug("step shard ended", "shard", e.ID, "err", err)
@@ -64,7 +64,7 @@
 	})
 }
 
-func (in *Instance) run(ctx context.Context, effs []control.Effect) {
+func (in *Instance) applyEffects(ctx context.Context, effs []control.Effect) {
 	for _, eff := range effs {
 		switch e := eff.(type) {
 		case control.StoreReport:
@@ -74,26 +74,26 @@
 		case control.LogChange:
 			in.cfg.Logger.Info(e.Message, e.Fields...)
 		case control.NotifyPeers:
-			in.peers.Broadcast(in.hint(e))
+			in.peers.Broadcast(in.hintMessage(e))
 		case control.RunShard:
-			in.shard(ctx, e)
+			in.runShard(ctx, e)
 		default:
-			in.io(ctx, eff)
+			in.startIO(ctx, eff)
 		}
 	}
 }
 
-// io carries out an effect that needs the network, on a group goroutine.
-func (in *Instance) io(ctx context.Context, eff control.Effect) {
+// startIO carries out an effect that needs I/O on a goroutine of in.group.
+func (in *Instance) startIO(ctx context.Context, eff control.Effect) {
 	in.group.Go(func() error {
 		ioCtx, cancel := context.WithTimeout(ctx, in.timeoutOf(eff))
 		defer cancel()
-		in.post(ctx, in.do(ioCtx, eff))
+		in.post(ctx, in.doIO(ioCtx, eff))
 		return nil
 	})
 }
 
-// timeoutOf returns how long eff may take.
+// timeoutOf returns the timeout of eff.
 func (in *Instance) timeoutOf(eff control.Effect) time.Duration {
 	switch eff.(type) {
 	case control.SendOrder:
@@ -104,14 +104,14 @@
 	return in.cfg.PlatformTimeout
 }
 
-func (in *Instance) do(ctx context.Context, eff control.Effect) control.Event {
+func (in *Instance) doIO(ctx context.Context, eff control.Effect) control.Event {
 	switch e := eff.(type) {
 	case control.ReadCatalogue:
 		return in.readCatalogue(ctx, e)
 	case control.ReadMembers:
 		rows, err := in.cfg.Platform.Scan(ctx, memberPrefix)
 		if err == nil {
-			rows = in.splitMembers(rows)
+			rows = in.splitQuarantineRows(rows)
 		}
 		return control.MembersRead{Rows: rows, At: in.cfg.Clock.Now(), Err: err}
 	case control.Heartbeat:
@@ -127,14 +127,14 @@
 		rep, err := engine.NewClient(e.Address, in.reportHTTP).LoadReport(ctx)
 		return control.ReportRead{Address: e.Address, Report: rep, At: in.cfg.Clock.Now(), Err: err}
 	case control.TakeRolloutLease:
-		held, err := in.keeper(e.Pool).Acquire(ctx, nil)
+		held, err := in.rolloutLease(e.Pool).Acquire(ctx, nil)
 		return control.RolloutLeaseDone{Pool: e.Pool, Held: held, Err: err}
 	case control.ReleaseRolloutLease:
-		if err := in.keeper(e.Pool).Release(ctx); err != nil {
-			in.cfg.Logger.Debug("rollout lease left to lapse", "pool", e.Pool, "err", err)
+		if err := in.rolloutLease(e.Pool).Release(ctx); err != nil {
+			in.cfg.Logger.Debug("could not release rollout lease; it expires on its own", "pool", e.Pool, "err", err)
 		}
 	case control.SendOrder:
-		return in.order(ctx, e)
+		return in.sendOrder(ctx, e)
 	case control.ReadInstances:
 		ch, err := in.cfg.Platform.Instances(ctx, e.Since)
 		return control.InstancesRead{Changes: ch, Err: err}
@@ -148,11 +148,10 @@
 	return nil
 }
 
-// readCatalogue reads the revision row and, if it moved from the one known,
-// the rows that changed since, or the whole catalogue if the revision no
-// longer names them all or a full read is asked for. An absent revision row
-// reads as version 0, so a catalogue without one is scanned only when a
-// full read is asked for.
+// readCatalogue reads the revision row. If its version differs from the known one,
+// readCatalogue reads the rows that changed since, or the full catalogue if the revision no
+// longer lists all of them or if e.Full is set. A missing revision row counts as version 0,
+// so a catalogue without one is only read if e.Full is set.
 func (in *Instance) readCatalogue(ctx context.Context, e control.ReadCatalogue) control.Event {
 	rev, version, err := catalogue.ReadRevision(ctx, in.cfg.Platform)
 	if err != nil {
@@ -183,7 +182,7 @@
 	return rows, nil
 }
 
-// post hands ev to the control goroutine unless ctx has ended.
+// post sends ev to the control loop unless ctx is done.
 func (in *Instance) post(ctx context.Context, ev control.Event) {
 	if ev == nil {
 		return
--- a/pkg/entry/outage_test.go
+++ b/pkg/entry/outage_test.go
@@ -18,15 +18,14 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// No training sample is older than its entry allows: with engines on
-// versions 1 and 5 and a lag of 1, no generation is labelled 1, at the
-// caller or at the trainer.
-func TestNoSampleBeyondTheStalenessBound(t *testing.T) {
+// No training sample may be older than its entry allows. With engines at versions 1 and 5
+// and a maximum lag of 1, no generation or sample may have version 1.
+func TestSamplesStayWithinVersionLag(t *testing.T) {
 	s := startSite(t, 3, 1, enginetest.Config{WeightVersion: 5})
 	if err := loadVersion(s, 0, 1); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, 5*time.Second, "reports of both versions", func() bool {
+	waitFor(t, 5*time.Second, "load reports with both versions", func() bool {
 		v := s.Entries[0].View()
 		rep, _ := v.Report(s.EngineAddrs[0])
 		return v.NewestVersions["assistant-pool"] == 5 && rep.WeightVersion == 1
@@ -35,21 +34,20 @@
 		req := entry.GenerateRequest{Customer: "minho", Entry: "drafts", RequestID: fmt.Sprint("stale-", i),
 			Prompt: fmt.Sprint("prompt ", i), MaxTokens: 2}
 		if _, _, last := generate(t, s.Entries[0].Addr(), req); !last.Done || last.WeightVersions[0] < 4 {
-			t.Fatalf("request %d labelled %v (done %t); bound is 4", i, last.WeightVersions, last.Done)
+			t.Fatalf("request %d: got weight versions %v (done %t), want at least 4", i, last.WeightVersions, last.Done)
 		}
 	}
-	waitFor(t, 5*time.Second, "samples at the trainer", func() bool { return len(s.Trainer.Received()) == 12 })
+	waitFor(t, 5*time.Second, "12 samples at the trainer", func() bool { return len(s.Trainer.Received()) == 12 })
 	for _, r := range s.Trainer.Received() {
 		if r.Sample.WeightVersions[0] < 4 {
-			t.Fatalf("trainer holds %s labelled %v", r.Sample.ID, r.Sample.WeightVersions)
+			t.Fatalf("sample %s has weight versions %v, want at least 4", r.Sample.ID, r.Sample.WeightVersions)
 		}
 	}
 }
 
-// A non-idempotent call meets a platform that answers only after seconds:
-// the caller gets its final answer within the platform timeout, not_run
-// with Retry-After, and the call was not sent.
-func TestSlowPlatformGetsAPromptRefusal(t *testing.T) {
+// If the platform responds only after seconds, a non-idempotent call must be rejected
+// within the platform timeout as not_run with Retry-After, and must not be sent.
+func TestSlowPlatformPromptRejection(t *testing.T) {
 	s, err := site.Start(site.Config{Engines: 1, Entries: 1,
 		Entry: entry.Config{Refresh: 50 * time.Millisecond, Tick: 10 * time.Millisecond, PlatformTimeout: 300 * time.Millisecond}})
 	if err != nil {
@@ -67,10 +65,10 @@
 	took := time.Since(start)
 	s.Platform.SetFaults(platformtest.Faults{})
 	if status != http.StatusServiceUnavailable || v != verdict.NotRun || took > 2*time.Second {
-		t.Fatalf("answered %d %s after %v; want 503 not_run within 2 s", status, v, took)
+		t.Fatalf("got status %d and verdict %s after %v, want 503 and not_run within 2s", status, v, took)
 	}
 	if n := s.Executions()["slow-1"]; n != 0 {
-		t.Fatalf("refused call ran %d times", n)
+		t.Fatalf("rejected call ran %d times, want 0", n)
 	}
 }
 
@@ -79,30 +77,30 @@
 	return engine.NewClient(s.EngineAddrs[i], nil).Load(context.Background(), engine.LoadOrder{Version: v})
 }
 
-// A platform that answers reads from an old copy takes no accepted change
-// back: the instance keeps the newest it has applied.
-func TestOldReadsRevertNothing(t *testing.T) {
+// If the platform serves reads from an old copy, an instance must not revert changes that
+// it has already applied.
+func TestStaleReadsRevertNothing(t *testing.T) {
 	s := startSite(t, 1, 0, enginetest.Config{WeightVersion: 1})
-	// Whole scans all the time, so that the old rows themselves are read.
+	// Full reads all the time, so that the old rows are actually read.
 	if err := s.StartEntryWith("scans", func(c *entry.Config) { c.FullReadInterval = c.Refresh }); err != nil {
 		t.Fatal(err)
 	}
 	in := s.Entries[0]
-	waitFor(t, 5*time.Second, "the catalogue applied", func() bool { return len(in.View().Pools) == 2 })
+	waitFor(t, 5*time.Second, "the instance to apply the catalogue", func() bool { return len(in.View().Pools) == 2 })
 	s.Platform.SnapshotRows()
-	nameVersion(t, s, 0, 2)
+	setTarget(t, s, 0, 2)
 	setUpstreams(t, s, "assistant-pool", s.EngineAddrs[0], "127.0.0.1:9")
-	waitFor(t, 5*time.Second, "the change and the version applied", func() bool { return in.View().Targets["assistant-pool"].Version == 2 })
+	waitFor(t, 5*time.Second, "the instance to apply the change and the target version", func() bool { return in.View().Targets["assistant-pool"].Version == 2 })
 	s.Platform.SetFaults(platformtest.Faults{StaleReads: true})
 	before := s.Platform.Stats().Reads
-	waitFor(t, 5*time.Second, "twenty reads of the old copy", func() bool { return s.Platform.Stats().Reads > before+20 })
+	waitFor(t, 5*time.Second, "20 reads of the old copy", func() bool { return s.Platform.Stats().Reads > before+20 })
 	if v := in.View(); len(v.Pools["assistant-pool"].Upstreams) != 2 || v.Targets["assistant-pool"].Version != 2 {
-		t.Fatalf("the instance went back: %+v, target %+v", v.Pools["assistant-pool"], v.Targets["assistant-pool"])
+		t.Fatalf("instance reverted to pool %+v and target %+v", v.Pools["assistant-pool"], v.Targets["assistant-pool"])
 	}
 }
 
-// A caller's own deadline holds: the final answer comes when it passes, with
-// a verdict, and a deadline that makes no sense is refused.
+// The caller's own timeout must be honoured with a response that has a verdict, and a
+// malformed timeout must be rejected.
 func TestCallerDeadline(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{WeightVersion: 1})
 	for _, svc := range s.Services {
@@ -119,16 +117,15 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != want || time.Since(start) > 3*time.Second {
-			t.Errorf("deadline %q: answered %d after %v, want %d", header, resp.StatusCode, time.Since(start), want)
+			t.Errorf("timeout %q: got status %d after %v, want %d within 3s", header, resp.StatusCode, time.Since(start), want)
 		}
 		if resp.Header.Get(verdict.Header) == "" {
-			t.Errorf("deadline %q: no verdict", header)
+			t.Errorf("timeout %q: response has no verdict", header)
 		}
 	}
 }
 
-// An entry removed from the catalogue is no longer served, and its callers
-// are told so.
+// Requests for an entry that was removed from the catalogue must get status 404.
 func TestRemovedEntryIsNotServed(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{WeightVersion: 1})
 	key := catalogue.EntryPrefix + "chat"
@@ -136,40 +133,40 @@
 		t.Fatal(err)
 	}
 	req := entry.GenerateRequest{Customer: "minho", Entry: "chat", RequestID: "gone", Prompt: "p", MaxTokens: 1}
-	waitFor(t, 5*time.Second, "404 for the removed entry", func() bool {
+	waitFor(t, 5*time.Second, "status 404 for the removed entry", func() bool {
 		status, _, _ := generate(t, s.Entries[0].Addr(), req)
 		return status == http.StatusNotFound
 	})
 }
 
-// While the platform is down, for however long, callers are served from the
-// last catalogue; only what must be kept there first is refused, at once and
-// as not run; and a sample made meanwhile reaches its trainer afterwards.
-func TestPlatformDownKeepsServing(t *testing.T) {
+// While the platform is unavailable, instances must serve from the last catalogue. Only
+// requests that must first be stored there are rejected, promptly and as not_run. A sample
+// generated meanwhile must reach its trainer afterwards.
+func TestServingWhilePlatformDown(t *testing.T) {
 	s := startSite(t, 2, 2, enginetest.Config{WeightVersion: 1})
-	waitFor(t, 5*time.Second, "membership", func() bool { return len(s.Entries[0].View().Members) == 2 })
+	waitFor(t, 5*time.Second, "the instance to see two members", func() bool { return len(s.Entries[0].View().Members) == 2 })
 	s.Platform.SetFaults(platformtest.Faults{Down: true})
 	time.Sleep(1500 * time.Millisecond) // longer than every lease
 	for i, in := range s.Entries {
 		if status, _, last := generate(t, in.Addr(), entry.GenerateRequest{Customer: "minho", Entry: "chat", RequestID: fmt.Sprint("down-", i),
 			Prompt: "p", MaxTokens: 3}); status != http.StatusOK || !last.Done {
-			t.Fatalf("generation answered %d %+v", status, last)
+			t.Fatalf("generate: got status %d and last event %+v, want a complete response", status, last)
 		}
 		if status := lookup(t, in.Addr(), fmt.Sprint("down-", i)); status != http.StatusOK {
-			t.Fatalf("lookup answered %d", status)
+			t.Fatalf("lookup: got status %d, want 200", status)
 		}
 		if status, v := callOnce(t, in.Addr(), fmt.Sprint("down-", i)); status != http.StatusServiceUnavailable || v != verdict.NotRun {
-			t.Fatalf("call that may run once answered %d %s", status, v)
+			t.Fatalf("non-idempotent call: got status %d and verdict %s, want 503 and not_run", status, v)
 		}
 		if _, err := entry.NewClient(in.Addr(), nil).Route(context.Background(), "minho", "a"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	generate(t, s.Entries[0].Addr(), entry.GenerateRequest{Customer: "minho", Entry: "drafts", RequestID: "kept", Prompt: "p", MaxTokens: 3})
-	time.Sleep(300 * time.Millisecond) // a send beside the caller's answer would show
+	time.Sleep(300 * time.Millisecond) // long enough for a delivery to be noticed
 	if n := len(s.Trainer.Received()); n != 0 {
-		t.Fatalf("%d samples delivered without a record", n)
+		t.Fatalf("got %d samples delivered without a record, want 0", n)
 	}
 	s.Platform.SetFaults(platformtest.Faults{})
-	waitFor(t, 5*time.Second, "the sample delivered", func() bool { return len(s.Trainer.Received()) == 1 })
+	waitFor(t, 5*time.Second, "the sample at the trainer", func() bool { return len(s.Trainer.Received()) == 1 })
 }
--- a/pkg/entry/peers_test.go
+++ b/pkg/entry/peers_test.go
@@ -16,16 +16,16 @@
 	"github.com/zinnialadder/zinnialadder/pkg/step"
 )
 
-// Once one instance has applied a catalogue change, its peers hear of it
-// over the peer link and apply it long before their own next read.
-func TestPeersApplyAChangeSoonAfterTheFirst(t *testing.T) {
+// Once one instance has applied a catalogue change, it must notify its peers, which then
+// apply the change long before their own next read.
+func TestPeersApplyChangePromptly(t *testing.T) {
 	const refresh = 2 * time.Second
 	s, err := site.Start(site.Config{Entries: 1, Entry: entry.Config{Refresh: refresh, Tick: 10 * time.Millisecond}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	// Stagger the instances' reads by a third of the period each, so that
+	// Stagger the instances' reads by a third of the interval each, so that
 	// without hints the last would apply a change well after the first.
 	for _, id := range []string{"entry-1", "entry-2"} {
 		time.Sleep(refresh / 3)
@@ -33,8 +33,8 @@
 			t.Fatal(err)
 		}
 	}
-	// Let membership settle so that each instance knows its peers.
-	waitFor(t, 3*refresh, "membership", func() bool {
+	// Each instance must know its peers.
+	waitFor(t, 3*refresh, "every instance to see three members", func() bool {
 		for _, in := range s.Entries {
 			if len(in.View().Members) != 3 {
 				return false
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	var first time.Time
-	waitFor(t, 2*refresh, "a first instance applies", func() bool {
+	waitFor(t, 2*refresh, "a first instance to apply the change", func() bool {
 		for _, in := range s.Entries {
 			if in.View().RowVersions[out[0].Key] >= out[0].Version {
 				first = time.Now()
@@ -63,14 +63,14 @@
 	gap := time.Since(first)
 	t.Logf("last instance applied %v after the first", gap)
 	if gap > refresh/5 {
-		t.Fatalf("last instance applied %v after the first; refresh is %v", gap, refresh)
+		t.Fatalf("last instance applied the change %v after the first, want at most a fifth of the refresh interval of %v", gap, refresh)
 	}
 }
 
-// With many members each one's lease lives longer, so that their renewals
-// together stay within what the platform can write, and each is judged by the
-// time that its own row tells.
-func TestLeasesLiveLongerWithManyMembers(t *testing.T) {
+// Leases must have a longer TTL if there are many members, so that the renewals do not
+// exceed the platform's write capacity. Each member's lease is judged by the TTL in its own
+// row.
+func TestLeaseTTLGrowsWithMembers(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{WeightVersion: 1})
 	const others = 300
 	now := time.Now()
@@ -83,8 +83,8 @@
 	}
 	put("gone", time.Second)
 	members := func() int { return len(s.Entries[0].View().Members) }
-	waitFor(t, 5*time.Second, "all members", func() bool { return members() == others+2 })
-	waitFor(t, 10*time.Second, "the lapsed member's leaving", func() bool { return members() == others+1 })
+	waitFor(t, 5*time.Second, "the instance to see all members", func() bool { return members() == others+2 })
+	waitFor(t, 10*time.Second, "the member with the expired lease to be removed", func() bool { return members() == others+1 })
 	ttl := func() time.Duration {
 		row, err := platform.NewClient(s.PlatformURL, nil).Get(context.Background(), "member/entry-0")
 		if err != nil {
@@ -97,17 +97,17 @@
 		return l.TTL(0)
 	}
 	const perSecond = 45
-	waitFor(t, 5*time.Second, "a longer lease", func() bool { return ttl() >= others*time.Second*3/perSecond })
+	waitFor(t, 5*time.Second, "a lease with a longer TTL", func() bool { return ttl() >= others*time.Second*3/perSecond })
 	if n := members(); n != others+1 {
-		t.Fatalf("%d members, want the %d whose leases last a minute to live", n, others+1)
+		t.Fatalf("got %d members, want the %d whose leases have not expired", n, others+1)
 	}
 }
 
-// Instances that all reach the platform but not each other, as regions that
-// lost each other: their links stay open and carry nothing. A named version
-// still reaches every engine and instance, a step is delivered whole and once,
-// and one that drains is no longer routed to.
-func TestInstancesCutFromEachOther(t *testing.T) {
+// A network partition separates the instances from each other, but not from the platform:
+// peer connections stay open and carry nothing. A target version must still reach every
+// engine and instance, a step must be delivered completely and once, and a draining
+// instance must no longer be routed to.
+func TestPartitionedInstances(t *testing.T) {
 	s := startSite(t, 4, 1, enginetest.Config{WeightVersion: 1, TokenInterval: 2 * time.Millisecond})
 	for i := range 3 {
 		err := s.StartEntryWith(fmt.Sprintf("cut-%d", i), func(c *entry.Config) {
@@ -119,28 +119,28 @@
 			t.Fatal(err)
 		}
 	}
-	s.StopEntry(0) // the one that could be reached
+	s.StopEntry(0) // the only instance that the others can reach
 	<-s.EntryDone(0)
 	cut := s.Entries[1:]
-	know := func(members int) func() bool {
+	seeMembers := func(members int) func() bool {
 		return func() bool {
 			return !slices.ContainsFunc(cut, func(in *entry.Instance) bool { return len(in.View().Members) != members })
 		}
 	}
-	waitFor(t, 10*time.Second, "the three to know each other", know(3))
-	nameVersion(t, s, 1, 2)
-	waitFor(t, 10*time.Second, "version 2 on every engine", allAt(s, 2))
-	waitFor(t, 10*time.Second, "version 2 known to every instance", func() bool {
+	waitFor(t, 10*time.Second, "the three instances to see each other", seeMembers(3))
+	setTarget(t, s, 1, 2)
+	waitFor(t, 10*time.Second, "version 2 on every engine", allAtVersion(s, 2))
+	waitFor(t, 10*time.Second, "every instance to see target version 2", func() bool {
 		return !slices.ContainsFunc(cut, func(in *entry.Instance) bool { return in.View().Targets["assistant-pool"].Version != 2 })
 	})
 	submit(t, s, 2, stepSpec("cut", 24, 4, 24))
-	waitFor(t, 20*time.Second, "the step complete", func() bool { return stepStatus(t, s, 3, "cut").Closed == step.Complete })
-	waitFor(t, 20*time.Second, "every record delivered", func() bool { return len(s.Platform.Rows("delivery/")) == 0 })
-	if n := wholeGroups(t, s, 4); n != 24 {
-		t.Fatalf("trainer holds %d whole groups, want 24", n)
+	waitFor(t, 20*time.Second, "the step to complete", func() bool { return stepStatus(t, s, 3, "cut").Closed == step.Complete })
+	waitFor(t, 20*time.Second, "every record to be delivered", func() bool { return len(s.Platform.Rows("delivery/")) == 0 })
+	if n := completeGroups(t, s, 4); n != 24 {
+		t.Fatalf("trainer got %d complete groups, want 24", n)
 	}
 	s.StopEntry(3)
-	waitFor(t, 10*time.Second, "the draining one to be left out", func() bool {
+	waitFor(t, 10*time.Second, "the others to see the instance draining", func() bool {
 		return !slices.ContainsFunc(cut[:2], func(in *entry.Instance) bool {
 			return slices.ContainsFunc(in.View().Members, func(m entry.Member) bool { return m.ID == "cut-2" && !m.Draining })
 		})
--- a/pkg/entry/prefix_bench_test.go
+++ b/pkg/entry/prefix_bench_test.go
@@ -15,23 +15,22 @@
 	"github.com/zinnialadder/zinnialadder/pkg/entry"
 )
 
-// The load of BenchmarkPrefixRouting: generations whose prompts share
-// prefixes, a few of them far more often asked than the rest.
+// The load of BenchmarkPrefixRouting: generations whose prompts share prefixes. The
+// popularity of the prefixes has a Zipf distribution.
 const (
 	prefixCallers = 48
-	prefixCalls   = 40 // a caller
+	prefixCalls   = 40 // per caller
 	prefixes      = 40
-	prefixSkew    = 1.2 // of the Zipf distribution of prefixes
+	prefixSkew    = 1.2 // parameter s of the Zipf distribution
 )
 
-// minHitRatio bounds the share of generations that find their prefix cached,
-// by the number of entry instances.
+// minHitRatio is the minimum fraction of generations that find their prefix cached, by the
+// number of entry instances.
 var minHitRatio = map[int]float64{2: 0.70, 10: 0.63}
 
-// BenchmarkPrefixRouting measures how often a generation finds its prompt's
-// prefix in the cache of the engine chosen for it, through two entry
-// instances and through ten. Nine engines, as each user has, hold six
-// prefixes each.
+// BenchmarkPrefixRouting measures how often a generation finds its prompt's prefix in the
+// cache of the selected engine, through two and through ten entry instances. There are nine
+// engines, as at each user's site, with caches for six prefixes each.
 func BenchmarkPrefixRouting(b *testing.B) {
 	for _, entries := range []int{2, 10} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) { benchPrefixRouting(b, entries) })
@@ -54,16 +53,16 @@
 	report(b, "entry", h)
 	b.ReportMetric(float64(peak), "peak-requests")
 	if ratio < minHitRatio[entries] {
-		b.Fatalf("%.3f of the generations found their prefix cached, bound %.2f", ratio, minHitRatio[entries])
+		b.Fatalf("got hit ratio %.3f, want at least %.2f", ratio, minHitRatio[entries])
 	}
 }
 
-// maxSlowShare bounds the share of generations sent to the slow engine of
-// BenchmarkSlowEngine; an even share is a ninth.
+// maxSlowShare is the maximum fraction of generations sent to the slow engine of
+// BenchmarkSlowEngine. An even share would be a ninth.
 const maxSlowShare = 0.016
 
-// BenchmarkSlowEngine measures how many generations go to an engine that takes
-// eight times as long for a token as the eight others, and how long all take.
+// BenchmarkSlowEngine measures how many generations go to an engine whose token time is
+// eight times that of the eight others, and the latency of all generations.
 func BenchmarkSlowEngine(b *testing.B) {
 	s := startSite(b, 9, 2, enginetest.Config{TokenInterval: 2 * time.Millisecond, Slots: 8, WeightVersion: 1})
 	s.Engines[0].SetFaults(enginetest.Faults{SlowFactor: 8})
@@ -72,12 +71,12 @@
 	b.ReportMetric(share, "slow-share")
 	report(b, "entry", h)
 	if share > maxSlowShare {
-		b.Fatalf("%.3f of the generations went to the slow engine, bound %.3f", share, maxSlowShare)
+		b.Fatalf("slow engine got a fraction of %.3f of the generations, want at most %.3f", share, maxSlowShare)
 	}
 }
 
-// callWithPrefixes sends the generations of the load, each to the next entry
-// instance in turn, and returns their times in microseconds.
+// callWithPrefixes sends the generations of the load to the entry instances in turn, and
+// returns their latencies in microseconds.
 func callWithPrefixes(b *testing.B, s *site.Site) *hdrhistogram.Histogram {
 	b.Helper()
 	var mu sync.Mutex
@@ -92,7 +91,7 @@
 					Prompt: fmt.Sprintf("%064d, call %d of caller %d", zipf.Uint64(), i, caller), MaxTokens: 8}
 				start := time.Now()
 				if status, _, last := generate(b, s.Entries[(caller+i)%len(s.Entries)].Addr(), req); !last.Done {
-					return fmt.Errorf("status %d, last %+v", status, last)
+					return fmt.Errorf("got status %d and last event %+v, want a complete response", status, last)
 				}
 				mu.Lock()
 				_ = h.RecordValue(time.Since(start).Microseconds())
--- a/pkg/entry/quarantine.go
+++ b/pkg/entry/quarantine.go
@@ -19,22 +19,23 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// quarantinePrefix begins the keys of the rows that tell which requests crash
-// upstreams. Instances read them with the members' rows.
+// quarantinePrefix is the key prefix of the rows about requests that crash upstreams.
+// Instances read them together with the members' rows.
 const quarantinePrefix = memberPrefix + "quarantine/"
 
-// newQuarantine returns what keeps requests that crash upstreams from them.
+// newQuarantine returns the quarantine of in, which keeps requests that crash upstreams
+// away from them.
 func newQuarantine(in *Instance) *quarantine.Syncer {
 	return quarantine.NewSyncer(quarantine.SyncerConfig{
 		Guard: quarantine.Config{
-			NotListening: takesNoConnection,
+			NotListening: refusesConnections,
 			IsLeaving:    in.isLeaving,
 			Go:           func(f func() error) { in.sends.Go(f) },
-			OnEvent:      in.quarantined,
+			OnEvent:      in.onQuarantineEvent,
 		},
 		Commit: in.cfg.Platform.Commit,
 		Prefix: quarantinePrefix,
-		Writer: in.cfg.ID + "/" + in.life,
+		Writer: in.cfg.ID + "/" + in.processID,
 		IsSweeper: func() bool {
 			members := in.View().Members
 			return len(members) > 0 && members[0].ID == in.cfg.ID
@@ -45,8 +46,8 @@
 	})
 }
 
-// takesNoConnection reports whether nothing listens at an upstream's address.
-func takesNoConnection(ctx context.Context, e upstream.Entry) bool {
+// refusesConnections reports whether nothing listens at an upstream's address.
+func refusesConnections(ctx context.Context, e upstream.Entry) bool {
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", e.Address)
 	if err == nil {
 		_ = conn.Close() // nothing was sent
@@ -54,7 +55,8 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// isLeaving reports whether an upstream leaves by its own account.
+// isLeaving reports whether an upstream stops on request: it is then not live in this
+// instance's view, for example because it drains.
 func (in *Instance) isLeaving(e upstream.Entry) bool {
 	for _, kind := range []catalogue.Kind{catalogue.Engines, catalogue.Services} {
 		for _, u := range in.View().LiveUpstreams(e.Pool, kind) {
@@ -66,14 +68,14 @@
 	return true
 }
 
-func (in *Instance) quarantined(e quarantine.Event) {
+func (in *Instance) onQuarantineEvent(e quarantine.Event) {
 	metrics.GetOrRegisterCounter("quarantine_"+strings.ReplaceAll(e.What, " ", "_"), in.cfg.Metrics).Inc(1)
 	in.cfg.Logger.Warn(e.What, "content", e.Content, "upstream", e.Upstream, "ends", e.Crashes, "unexplained", e.Unexplained, "trials", e.Trials, "err", e.Err)
 }
 
-// splitMembers has the guard take the rows that are its own among those read, and
-// returns the others.
-func (in *Instance) splitMembers(rows []platform.Row) []platform.Row {
+// splitQuarantineRows applies the quarantine rows among rows to the guard and returns the
+// others, which are the members' rows.
+func (in *Instance) splitQuarantineRows(rows []platform.Row) []platform.Row {
 	changes := make([]platform.Change, len(rows))
 	for i, r := range rows {
 		changes[i] = platform.Change{Row: r}
@@ -90,12 +92,15 @@
 	return members
 }
 
-// at returns the upstream at addr as the guard knows it: the catalogue tells addresses
-// only.
-func at(pool, addr string) upstream.Entry { return upstream.Entry{ID: addr, Pool: pool, Address: addr} }
+// upstreamEntry returns the upstream at addr for use with the guard. The catalogue has no
+// upstream IDs, so the address is also the ID.
+func upstreamEntry(pool, addr string) upstream.Entry {
+	return upstream.Entry{ID: addr, Pool: pool, Address: addr}
+}
 
-// held returns the error of a request that is in quarantine.
-func held(err error) error {
+// quarantineError returns err, or a NotRun error with the time of retry if err means that
+// the request is quarantined.
+func quarantineError(err error) error {
 	var refused *quarantine.RefusedError
 	if errors.As(err, &refused) {
 		return verdict.Refuse(http.StatusServiceUnavailable, refused.Until, err)
@@ -103,7 +108,8 @@
 	return err
 }
 
-// outcomeOf returns how an attempt ended whose context was ctx.
+// outcomeOf classifies the end of an attempt. ctx is the attempt's context and err its
+// error.
 func outcomeOf(ctx context.Context, err error) quarantine.Outcome {
 	var se *httpjson.StatusError
 	switch {
@@ -117,7 +123,7 @@
 		return quarantine.Answered
 	case errors.As(err, &se):
 		return quarantine.Failed
-	case ctx.Err() != nil, errors.Is(err, errCaller):
+	case ctx.Err() != nil, errors.Is(err, errCallerGone):
 		return quarantine.Abandoned
 	}
 	return quarantine.ConnectionLost
--- a/pkg/entry/quarantine_test.go
+++ b/pkg/entry/quarantine_test.go
@@ -16,57 +16,58 @@
 	"github.com/zinnialadder/zinnialadder/pkg/step"
 )
 
-// sharedWithin is how long after a request has crashed the third upstream all instances
-// must know of it, and allowedRuns how often it may run after that.
+// Bounds on the spread of the quarantine to all instances.
 const (
-	sharedWithin = 3 * time.Second
-	allowedRuns  = 3
+	sharedWithin = 3 * time.Second // after the request crashed the third upstream
+	allowedRuns  = 3               // executions of the request after that time
 )
 
-// crashSite is a site of three engines, two services and two instances, whose upstreams
-// crash under requests that hold the word poison.
+// crashSite returns a site of three engines, two services and two instances. Its upstreams
+// crash while they process a request that contains the word poison.
 func crashSite(t *testing.T) (*site.Site, *crashtest.Poison) {
 	p := &crashtest.Poison{After: 20 * time.Millisecond, Match: func(body []byte) bool { return bytes.Contains(body, []byte("poison")) }}
 	return startSiteWith(t, 3, 2, enginetest.Config{WeightVersion: 1}, func(cfg *site.Config) { cfg.Poison, cfg.RestartAfter = p, 250*time.Millisecond }), p
 }
 
-// checkPoison checks how often poison ran once both instances must have known of it.
+// checkPoison checks how often the poison request ran after both instances must have known
+// about it.
 func checkPoison(t *testing.T, s *site.Site, p *crashtest.Poison) {
 	t.Helper()
-	ends := s.Crashes()
-	if len(ends) < 3 {
-		t.Fatalf("%d upstreams ended, want three to begin with", len(ends))
+	crashes := s.Crashes()
+	if len(crashes) < 3 {
+		t.Fatalf("got %d crashes, want at least 3", len(crashes))
 	}
 	late := 0
 	for _, at := range p.Runs() {
-		if at.Sub(ends[2]) > sharedWithin {
+		if at.Sub(crashes[2]) > sharedWithin {
 			late++
 		}
 	}
-	t.Logf("ran %d times later than %v after it had crashed the third upstream; %d ended in all", late, sharedWithin, len(ends))
+	t.Logf("poison ran %d times later than %v after the third crash; %d crashes in total", late, sharedWithin, len(crashes))
 	if late > allowedRuns {
-		t.Errorf("ran %d times later than %v after it had crashed the third upstream, want %d at most", late, sharedWithin, allowedRuns)
+		t.Errorf("poison ran %d times later than %v after the third crash, want at most %d", late, sharedWithin, allowedRuns)
 	}
 }
 
-// pester sends poison to both instances in turn for as long again after they must know
-// of it, under a new key each time.
-func pester(s *site.Site, send func(addr, key string)) {
+// sendRepeatedly sends the poison request to both instances in turn for 2*sharedWithin,
+// with a new key each time.
+func sendRepeatedly(s *site.Site, send func(addr, key string)) {
 	for i, end := 0, time.Now().Add(2*sharedWithin); time.Now().Before(end); i++ {
 		send(s.Entries[i%2].Addr(), fmt.Sprintf("poison-%d", i))
 		time.Sleep(30 * time.Millisecond)
 	}
 }
 
-// One call crashed each service that ran it, came again under a new key, and was sent
-// to every service each time, as nothing connected it with the calls before. Idempotent
-// calls were also hedged: a second service got a copy while the first was crashing.
+// A call crashed each service that ran it, was repeated by its caller with a new key, and
+// was sent to every service again, because nothing identified it as the same call.
+// Idempotent calls were also hedged, so that a second service got the call while the first
+// was crashing.
 func TestCallThatCrashesServicesIsQuarantined(t *testing.T) {
 	for name, idempotent := range map[string]bool{"idempotent": true, "once": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, p := crashSite(t)
-			for i := range 30 { // until calls are hedged
+			for i := range 30 { // enough for calls to be hedged
 				lookup(t, s.Entries[i%2].Addr(), fmt.Sprint("balance-", i))
 			}
 			call := func(addr, key, body string) int {
@@ -74,32 +75,32 @@
 					Method: "balance", Key: key, Idempotent: idempotent, Body: json.RawMessage(body)})
 				return statusOf(t, err)
 			}
-			pester(s, func(addr, key string) { call(addr, key, `"poison"`) })
+			sendRepeatedly(s, func(addr, key string) { call(addr, key, `"poison"`) })
 			checkPoison(t, s, p)
 			for i, in := range s.Entries {
 				if status := call(in.Addr(), fmt.Sprint("other-", i), `"another"`); status != http.StatusOK {
-					t.Errorf("another call got %d", status)
+					t.Errorf("another call: got status %d, want 200", status)
 				}
 				if status := call(in.Addr(), fmt.Sprint("last-", i), `"poison"`); status != http.StatusServiceUnavailable {
-					t.Errorf("the call in quarantine got %d, want 503", status)
+					t.Errorf("quarantined call: got status %d, want 503", status)
 				}
 			}
 		})
 	}
 }
 
-// The same as a generation of a caller's.
+// A generation that crashes engines must be quarantined too.
 func TestGenerationThatCrashesEnginesIsQuarantined(t *testing.T) {
 	t.Parallel()
 	s, p := crashSite(t)
-	pester(s, func(addr, key string) {
+	sendRepeatedly(s, func(addr, key string) {
 		generate(t, addr, entry.GenerateRequest{Customer: "minho", Entry: "chat", RequestID: key, Prompt: "poison", MaxTokens: 8})
 	})
 	checkPoison(t, s, p)
 }
 
-// The same as a group of steps, which instances make again until the step is due. The
-// other groups are made.
+// A group of a step that crashes engines must be quarantined too. Instances retry it until
+// the step's deadline. The other groups must be completed.
 func TestSampleThatCrashesEnginesIsQuarantined(t *testing.T) {
 	t.Parallel()
 	s, p := crashSite(t)
@@ -109,13 +110,13 @@
 		spec.Desired = 3
 		spec.Deadline = time.Now().Add(sharedWithin + time.Second).UTC()
 		if status := submit(t, s, i, spec); status != http.StatusOK {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("submit: got status %d, want 200", status)
 		}
 		time.Sleep(sharedWithin)
 	}
 	time.Sleep(sharedWithin / 2)
 	checkPoison(t, s, p)
-	if n := wholeGroups(t, s, 2); n != 4 {
-		t.Errorf("%d groups are whole, want the four others", n)
+	if n := completeGroups(t, s, 2); n != 4 {
+		t.Errorf("got %d complete groups, want the 4 others", n)
 	}
 }
--- a/pkg/entry/request.go
+++ b/pkg/entry/request.go
@@ -8,14 +8,15 @@
 	"github.com/zinnialadder/zinnialadder/pkg/catalogue"
 )
 
-// request is the body of a caller's request to a catalogue entry.
+// request is the body of a caller's request for a catalogue entry.
 type request interface {
-	check() error                     // a NotRun error that names the field
-	target() (customer, entry string) // the entry it is for
+	check() error                     // returns a NotRun error that names the invalid field
+	target() (customer, entry string) // the catalogue entry requested
 }
 
-// serve reads a request into req, checks and admits it, and runs it under its
-// deadline. An error of run, which has then written nothing, is answered.
+// serve decodes a request into req, checks and admits it, and calls run with the request's
+// deadline. If run returns an error, it must have written nothing; serve then writes the
+// error response.
 func serve[R request](in *Instance, w http.ResponseWriter, r *http.Request, req *R,
 	run func(ctx context.Context, v *View, e catalogue.Entry) error) {
 	in.stats.requests.Inc(1)
@@ -26,15 +27,15 @@
 		err = (*req).check()
 	}
 	if err == nil {
-		err = in.admitted(r, *req, run)
+		err = in.admitAndRun(r, *req, run)
 	}
 	if err != nil {
-		in.fail(w, err)
+		in.writeError(w, err)
 	}
 }
 
-// admitted runs req with a place and its deadline.
-func (in *Instance) admitted(r *http.Request, req request, run func(context.Context, *View, catalogue.Entry) error) error {
+// admitAndRun admits req and calls run with the request's deadline.
+func (in *Instance) admitAndRun(r *http.Request, req request, run func(context.Context, *View, catalogue.Entry) error) error {
 	v := in.View()
 	customer, name := req.target()
 	if err := in.authorize(r, customer); err != nil {
--- a/pkg/entry/answer_prop_test.go
+++ b/pkg/entry/response_prop_test.go
@@ -13,17 +13,17 @@
 	"github.com/zinnialadder/zinnialadder/pkg/entry"
 )
 
-// ownAnswer reports whether text is a whole answer of maxTokens tokens to
-// prompt: each token is the next one the stand-in makes for the prompt in
-// force, where a resume on another engine puts the text so far after the
-// prompt and counts again from 0.
-func ownAnswer(prompt, text string, maxTokens int) error {
+// checkResponse returns an error unless text is a complete response of maxTokens tokens to
+// prompt. The fake engine derives each token from the prompt and the token's index. A
+// resumed request has the text so far appended to its prompt, and its indexes start at 0
+// again.
+func checkResponse(prompt, text string, maxTokens int) error {
 	toks := strings.SplitAfter(text, " ")
 	if toks[len(toks)-1] == "" {
 		toks = toks[:len(toks)-1]
 	}
 	if len(toks) != maxTokens {
-		return fmt.Errorf("%d tokens, want %d", len(toks), maxTokens)
+		return fmt.Errorf("got %d tokens, want %d", len(toks), maxTokens)
 	}
 	cur, idx, sofar := prompt, 0, ""
 	for i, tok := range toks {
@@ -33,24 +33,23 @@
 		case enginetest.Token(prompt+sofar, 0):
 			cur, idx = prompt+sofar, 1
 		default:
-			return fmt.Errorf("token %d %q is not this request's", i, tok)
+			return fmt.Errorf("token %d %q belongs to another request", i, tok)
 		}
 		sofar += tok
 	}
 	return nil
 }
 
-// Many callers at once, at two instances, while engines cut streams part
-// way: each caller receives the whole answer to its own request and
-// nothing else, or a verdict.
-func TestCallersGetTheirOwnWholeAnswers(t *testing.T) {
+// Concurrent callers use two instances while one engine cuts off its streams. Each caller
+// must receive the complete response to its own request, or a verdict.
+func TestCallersGetTheirOwnCompleteResponses(t *testing.T) {
 	s := startSite(t, 3, 2, enginetest.Config{Slots: 64})
 	round := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		round++
-		cut := rapid.IntRange(0, 12).Draw(rt, "cut_after") // 0: engines never cut
+		cut := rapid.IntRange(0, 12).Draw(rt, "cut_after") // 0: no engine cuts off streams
 		for i, e := range s.Engines {
-			if i > 0 || cut == 0 { // one engine cuts, so a resume has somewhere to go
+			if i > 0 || cut == 0 { // only one engine cuts off streams, so that others can resume them
 				e.SetFaults(enginetest.Faults{})
 				continue
 			}
@@ -79,11 +78,11 @@
 		for _, w := range got {
 			if w.code != http.StatusOK || !w.last.Done {
 				if w.last.Verdict == nil {
-					rt.Fatalf("%s: status %d, no verdict: %+v", w.req.RequestID, w.code, w.last)
+					rt.Fatalf("%s: status %d, last event %+v has no verdict", w.req.RequestID, w.code, w.last)
 				}
 				continue
 			}
-			if err := ownAnswer(w.req.Prompt, w.text, w.req.MaxTokens); err != nil {
+			if err := checkResponse(w.req.Prompt, w.text, w.req.MaxTokens); err != nil {
 				rt.Fatalf("%s: %v", w.req.RequestID, err)
 			}
 		}
--- a/pkg/entry/rollout.go
+++ b/pkg/entry/rollout.go
@@ -12,25 +12,25 @@
 
 const rolloutLeasePrefix = "lease/rollout/"
 
-// errLeaseOver ends an order that came to be sent only when the lease it
-// was given under may have passed on, as after a pause of this process.
-var errLeaseOver = errors.New("rollout lease over before the order was sent")
+// errLeaseExpired is the result of an order that was not sent in time: the lease that it
+// was given under may have expired, for example while this process was paused.
+var errLeaseExpired = errors.New("rollout lease expired before the load order was sent")
 
-// keeper returns the Keeper of pool's rollout lease. The control goroutine
-// lets one use of it run at a time.
-func (in *Instance) keeper(pool string) *lease.Manager {
-	k, ok := in.keepers.Load(pool)
+// rolloutLease returns the manager of pool's rollout lease. The control loop never uses one
+// manager concurrently.
+func (in *Instance) rolloutLease(pool string) *lease.Manager {
+	k, ok := in.rolloutLeases.Load(pool)
 	if !ok {
-		k, _ = in.keepers.LoadOrStore(pool, &lease.Manager{Table: in.cfg.Platform, Clock: in.cfg.Clock,
-			Name: rolloutLeasePrefix + pool, Holder: in.cfg.ID + "/" + in.life, TTL: in.cfg.RolloutLeaseTTL})
+		k, _ = in.rolloutLeases.LoadOrStore(pool, &lease.Manager{Table: in.cfg.Platform, Clock: in.cfg.Clock,
+			Name: rolloutLeasePrefix + pool, Holder: in.cfg.ID + "/" + in.processID, TTL: in.cfg.RolloutLeaseTTL})
 	}
 	return k.(*lease.Manager)
 }
 
-// order sends one load order, unless the lease it was given under is over.
-func (in *Instance) order(ctx context.Context, e control.SendOrder) control.Event {
+// sendOrder sends one load order, unless the lease that it was given under has expired.
+func (in *Instance) sendOrder(ctx context.Context, e control.SendOrder) control.Event {
 	o := e.Order
-	err := errLeaseOver
+	err := errLeaseExpired
 	if in.cfg.Clock.Now().Before(o.NotAfter) {
 		in.stats.orders.Inc(1)
 		err = engine.NewClient(o.Address, in.http).Load(ctx, engine.LoadOrder{Version: o.Version, Fencing: o.Fencing})
--- a/pkg/entry/route.go
+++ b/pkg/entry/route.go
@@ -10,8 +10,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// RouteResponse tells a caller which entry instance to use and until when it
-// may keep using it without asking again.
+// RouteResponse tells a caller which entry instance to use, and until when without asking
+// again.
 type RouteResponse struct {
 	Address    string    `json:"address"`
 	ID         string    `json:"id"`
@@ -19,8 +19,8 @@
 	ExpiresAt  time.Time `json:"expires_at"`
 }
 
-// near returns the members in data centre dc, or all if none is.
-func near(members []Member, dc string) []Member {
+// inDataCentre returns the members in data centre dc, or all members if there is none.
+func inDataCentre(members []Member, dc string) []Member {
 	var out []Member
 	for _, m := range members {
 		if m.DataCentre == dc {
@@ -33,29 +33,29 @@
 	return out
 }
 
-// serveRoute answers GET /v1/route?customer=C&key=K&data_centre=D. The same
-// customer and key map to the same live instance while membership holds, by
-// rendezvous hashing, so a caller's requests meet the same caches. With a
-// data centre, an instance there is named if there is one.
+// serveRoute handles GET /v1/route?customer=C&key=K&data_centre=D. Rendezvous hashing maps
+// a customer and key to the same live instance while the membership does not change, so
+// that a caller's requests share caches. If data_centre is given, an instance there is
+// preferred.
 func (in *Instance) serveRoute(w http.ResponseWriter, r *http.Request) {
 	customer, key := r.URL.Query().Get("customer"), r.URL.Query().Get("key")
 	if customer == "" {
-		in.fail(w, verdict.BadRequest("route: customer is required"))
+		in.writeError(w, verdict.BadRequest("route: customer is required"))
 		return
 	}
 	if !in.View().HasCustomer(customer) {
-		in.fail(w, verdict.New(verdict.NotRun, http.StatusNotFound, fmt.Errorf("route: no customer %q in the catalogue", customer)))
+		in.writeError(w, verdict.New(verdict.NotRun, http.StatusNotFound, fmt.Errorf("route: customer %q is not in the catalogue", customer)))
 		return
 	}
 	if err := in.authorize(r, customer); err != nil {
-		in.fail(w, err)
+		in.writeError(w, err)
 		return
 	}
-	members := near(in.View().Routable(), r.URL.Query().Get("data_centre"))
+	members := inDataCentre(in.View().Routable(), r.URL.Query().Get("data_centre"))
 	if len(members) == 0 {
-		members = []Member{in.self} // membership not read yet: answer for ourselves
+		members = []Member{in.self} // the membership has not been read yet
 		if in.View().Draining {
-			in.fail(w, verdict.Refuse(http.StatusServiceUnavailable, in.comeBackAt(), errNoInstance))
+			in.writeError(w, verdict.Refuse(http.StatusServiceUnavailable, in.defaultRetryAt(), errNoInstance))
 			return
 		}
 	}
--- a/pkg/entry/scale_bench_test.go
+++ b/pkg/entry/scale_bench_test.go
@@ -11,14 +11,14 @@
 	"github.com/zinnialadder/zinnialadder/pkg/step"
 )
 
-// Regression bounds of the benchmarks below.
+// Bounds of the benchmarks below.
 const (
-	maxRolloutSeconds = 2.0 // besides the load itself, of letter 1's 5 s
-	maxCallsPerGroup  = 8.0 // to the platform, of all kinds
+	maxRolloutSeconds = 2.0 // besides the load itself; the requirement is 5 s in total
+	maxCallsPerGroup  = 8.0 // platform calls of all kinds
 )
 
-// scaleSite starts a site with the default settings but for the given
-// engines, and a training entry on them that all engines may load at once.
+// scaleSite starts a site with default settings and the given number of engines, and a
+// training entry whose engines may all load at the same time.
 func scaleSite(b *testing.B, engines int) *site.Site {
 	s, err := site.Start(site.Config{Engines: engines, Entries: 3,
 		Engine: enginetest.Config{TokenInterval: time.Millisecond, Slots: 64, WeightVersion: 1}})
@@ -36,57 +36,56 @@
 	return s
 }
 
-// BenchmarkRollout measures, at three pool sizes and with loads that take no
-// time, from a version's acknowledgement to the last engine that holds it.
+// BenchmarkRollout measures the time from the acknowledgement of a target version until the
+// last engine holds it, at three pool sizes and with loads that take no time.
 func BenchmarkRollout(b *testing.B) {
 	for _, engines := range []int{4, 16, 64} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			s := scaleSite(b, engines)
 			var worst time.Duration
 			for v := uint64(2); v < 7; v++ {
-				nameVersion(b, s, int(v)%3, v)
-				named := time.Now()
-				for !allAt(s, v)() {
-					if time.Since(named) > time.Minute {
-						b.Fatalf("version %d not on every engine after a minute", v)
+				setTarget(b, s, int(v)%3, v)
+				start := time.Now()
+				for !allAtVersion(s, v)() {
+					if time.Since(start) > time.Minute {
+						b.Fatalf("version %d not on every engine after 1m", v)
 					}
 					time.Sleep(time.Millisecond)
 				}
-				worst = max(worst, time.Since(named))
+				worst = max(worst, time.Since(start))
 			}
 			b.ReportMetric(worst.Seconds(), "worst-s")
 			if worst.Seconds() > maxRolloutSeconds {
-				b.Fatalf("a version took %v, bound %v s", worst, maxRolloutSeconds)
+				b.Fatalf("slowest rollout took %v, want at most %v s", worst, maxRolloutSeconds)
 			}
 		})
 	}
 }
 
-// BenchmarkStepCalls measures the platform calls that each group of a step
-// costs, over two sizes of step.
+// BenchmarkStepCalls measures the platform calls per group of a step, at two step sizes.
 func BenchmarkStepCalls(b *testing.B) {
 	for _, groups := range []int{32, 256} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
 			s := scaleSite(b, 4)
-			nameVersion(b, s, 0, 1)
+			setTarget(b, s, 0, 1)
 			time.Sleep(time.Second)
 			spec := stepSpec("calls", groups, 8, groups)
 			before, begun := s.Platform.Stats(), time.Now()
 			submit(b, s, 0, spec)
 			for stepStatus(b, s, 1, "calls").Closed != step.Complete {
 				if time.Since(begun) > time.Minute {
-					b.Fatal("step not complete after a minute")
+					b.Fatal("step not complete after 1m")
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
 			after, took := s.Platform.Stats(), time.Since(begun).Seconds()
-			idle := took * 3 * 4 // what three instances read and write with no step
+			idle := took * 3 * 4 // calls of three instances without a step, estimated at 4 a second each
 			calls := float64(after.Commits-before.Commits+after.Reads-before.Reads) - idle
 			b.ReportMetric(float64(after.Commits-before.Commits)/float64(groups), "commits/group")
 			b.ReportMetric(float64(after.Reads-before.Reads)/float64(groups), "reads/group")
 			b.ReportMetric(took, "step-s")
 			if per := calls / float64(groups); per > maxCallsPerGroup {
-				b.Fatalf("%.1f platform calls a group, bound %.0f", per, maxCallsPerGroup)
+				b.Fatalf("got %.1f platform calls per group, want at most %.0f", per, maxCallsPerGroup)
 			}
 		})
 	}
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -16,16 +16,16 @@
 
 // Handler returns the caller-facing HTTP handler:
 //
-//	GET  /v1/route      which instance a caller should use (RouteAnswer)
-//	POST /v1/generate   a GenerateRequest; answers newline-delimited Events
-//	POST /v1/call       a CallRequest to a plain service; answers a CallAnswer
-//	POST /v1/weights    a WeightsRequest; 204 once kept
-//	POST /v1/steps      a step.Spec; 202 once kept
-//	GET  /v1/steps/{customer}/{entry}/{id}     its StepStatus
-//	DELETE /v1/steps/{customer}/{entry}/{id}   end it; 204
-//	GET  /metrics       counters, as JSON
+//	GET  /v1/route      which instance a caller should use (RouteResponse)
+//	POST /v1/generate   a GenerateRequest; responds with newline-delimited Events
+//	POST /v1/call       a CallRequest to a plain service; responds with a CallResponse
+//	POST /v1/weights    a WeightsRequest; 204 once stored
+//	POST /v1/steps      a step.Spec; 202 once stored
+//	GET  /v1/steps/{customer}/{entry}/{id}     the step's StepStatus
+//	DELETE /v1/steps/{customer}/{entry}/{id}   cancels the step; 204
+//	GET  /metrics       metrics as JSON
 //	GET  /healthz       200 while serving, 503 while draining
-//	GET  /debug/pprof/  the runtime's profiles
+//	GET  /debug/pprof/  runtime profiles
 func (in *Instance) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
@@ -51,24 +51,24 @@
 	return mux
 }
 
-// MoveHeader is the header by which a draining instance tells a caller to ask
-// the path it names, at any instance, which one to use from now on.
+// MoveHeader is the response header with which a draining instance tells the caller to use
+// another instance. Its value is the path to request, at any instance, to get the other
+// one's address.
 const MoveHeader = "Zinnia-Move"
 
-// ErrorResponse is the body of an answer that is not a success.
+// ErrorResponse is the body of an error response.
 type ErrorResponse struct {
 	Error   string          `json:"error"`
 	Verdict verdict.Verdict `json:"verdict"`
 }
 
-// comeBackIn is how long callers are told to wait before they try again what
-// was refused or failed.
-const comeBackIn = time.Second
+// retryDelay is the Retry-After delay of requests that were rejected or failed.
+const retryDelay = time.Second
 
-func (in *Instance) comeBackAt() time.Time { return in.cfg.Clock.Now().Add(comeBackIn) }
+func (in *Instance) defaultRetryAt() time.Time { return in.cfg.Clock.Now().Add(retryDelay) }
 
-// fail answers err with its verdict, status and Retry-After at once.
-func (in *Instance) fail(w http.ResponseWriter, err error) {
+// writeError writes the response for err with its verdict, status and Retry-After header.
+func (in *Instance) writeError(w http.ResponseWriter, err error) {
 	ve := asVerdictError(err)
 	if ve.Verdict == verdict.NotRun {
 		in.stats.refused.Inc(1)
@@ -93,7 +93,8 @@
 	return verdict.New(verdict.MayHaveRun, http.StatusBadGateway, err)
 }
 
-// decode reads a request body, mapping bad input to a 4xx NotRun error.
+// decode reads the JSON request body into v. Malformed input gives a NotRun error with a
+// 4xx status.
 func decode(w http.ResponseWriter, r *http.Request, v any) error {
 	if err := httpjson.Decode(w, r, v); err != nil {
 		if errors.Is(err, httpjson.ErrTooLarge) {
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// counters are the instance's metrics.
+// counters holds the instance's metrics.
 type counters struct {
 	requests, refused, failed, upstreamErrors, resumed metrics.Counter
 	refusedAdmission, retriesRefused                   metrics.Counter
@@ -112,7 +113,7 @@
 	ejected, hedges                                    metrics.Counter
 	orders, orderErrors                                metrics.Counter
 	latency                                            metrics.Timer
-	callTime                                           metrics.Timer // one copy of a service call
+	callLatency                                        metrics.Timer // one attempt of a service call
 }
 
 func newCounters(r metrics.Registry) *counters {
@@ -124,8 +125,8 @@
 			Retries: c("delivery_retries"), Redelivered: c("samples_redelivered")},
 		refusedAdmission: c("refused_admission"), retriesRefused: c("retries_refused"), ejected: c("upstreams_ejected"), hedges: c("hedges"),
 		orders: c("load_orders"), orderErrors: c("load_order_errors"),
-		latency:  metrics.GetOrRegisterTimer("request_latency", r),
-		callTime: metrics.GetOrRegisterTimer("service_call_latency", r),
+		latency:     metrics.GetOrRegisterTimer("request_latency", r),
+		callLatency: metrics.GetOrRegisterTimer("service_call_latency", r),
 	}
 }
 
--- a/pkg/entry/servicecall.go
+++ b/pkg/entry/servicecall.go
@@ -16,16 +16,16 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// Hedging of idempotent calls: a second copy is sent once the first has
-// taken hedgeMeans times the mean, and no sooner than hedgeFloor, counted
-// over at least hedgeSamples calls.
+// Hedging of idempotent calls: a second request is sent once the first has taken hedgeMeans
+// times the mean latency, but not before hedgeFloor. Latencies count only once hedgeSamples
+// calls have been measured.
 const (
 	hedgeMeans   = 3
 	hedgeFloor   = 10 * time.Millisecond
 	hedgeSamples = 20
 )
 
-// serviceCall is one caller's call to a plain service in progress.
+// serviceCall is the state of a caller's call to a plain service.
 type serviceCall struct {
 	in    *Instance
 	view  *View
@@ -34,9 +34,9 @@
 	tried []string // services tried, in order
 }
 
-// once sends the call to one service after another until one of them may
-// have run it. Its error is NotRun only if none did.
-func (c *serviceCall) once(ctx context.Context) (CallResponse, error) {
+// sendOnce sends the call to one service after another until one may have run it. Its error
+// is NotRun only if no service ran it.
+func (c *serviceCall) sendOnce(ctx context.Context) (CallResponse, error) {
 	var last error
 	for range maxAttempts {
 		if err := c.check(); err != nil {
@@ -56,46 +56,47 @@
 		}
 		last = err
 	}
-	return CallResponse{}, c.refuse(last)
+	return CallResponse{}, c.notRunError(last)
 }
 
-// content is what identifies the call whatever its key.
+// content returns what is fingerprinted for the quarantine. It does not include the
+// idempotency key.
 func (c *serviceCall) content() quarantine.Content {
 	return quarantine.Content{Method: c.req.Method, Host: c.req.Customer, URI: c.req.Entry, Body: c.req.Body}
 }
 
-// check returns an error if the call is in quarantine.
+// check returns an error if the call is quarantined.
 func (c *serviceCall) check() error {
 	return c.in.quarantine.Guard.Check(c.content(), time.Now())
 }
 
-// refuse is the NotRun error of a call that reached no service.
-func (c *serviceCall) refuse(err error) error {
+// notRunError returns the NotRun error of a call that no service ran because of err.
+func (c *serviceCall) notRunError(err error) error {
 	if errors.Is(err, quarantine.ErrQuarantined) {
-		return held(err)
+		return quarantineError(err)
 	}
-	return verdict.Refuse(http.StatusServiceUnavailable, c.in.comeBackAt(), fmt.Errorf("call: not run: %w", err))
+	return verdict.Refuse(http.StatusServiceUnavailable, c.in.defaultRetryAt(), fmt.Errorf("call: no service ran it: %w", err))
 }
 
-// outcome is how one copy of a call ended.
-type outcome struct {
+// callResult is the result of one attempt of a call.
+type callResult struct {
 	ans CallResponse
 	err error
 }
 
-// copies are the copies of one idempotent call.
-type copies struct {
+// hedgedCall is the state of the attempts of one idempotent call.
+type hedgedCall struct {
 	call    *serviceCall
 	group   errgroup.Group
-	ended   chan outcome
+	results chan callResult
 	sent    int
 	running int
 }
 
-// send sends one more copy, to a service that has had none.
-func (c *copies) send(ctx context.Context) error {
+// send starts one more attempt, at a service that has not been tried.
+func (c *hedgedCall) send(ctx context.Context) error {
 	if err := c.call.check(); err != nil {
-		return c.call.refuse(err)
+		return c.call.notRunError(err)
 	}
 	addr, err := c.call.pick()
 	if err != nil {
@@ -104,27 +105,27 @@
 	c.sent, c.running = c.sent+1, c.running+1
 	c.group.Go(func() error {
 		ans, err := c.call.send(ctx, addr)
-		c.ended <- outcome{ans, err}
+		c.results <- callResult{ans, err}
 		return nil
 	})
 	return nil
 }
 
-// more sends one more copy, if the call and the retry budget have any left.
-// With no other service, the copies running decide.
-func (c *copies) more(ctx context.Context) {
+// retry starts one more attempt if the attempt limit and the retry budget allow it. If
+// there is no other service, the running attempts decide the result.
+func (c *hedgedCall) retry(ctx context.Context) {
 	if c.sent < maxAttempts && ctx.Err() == nil && c.call.in.retries.Spend() {
 		_ = c.send(ctx)
 	}
 }
 
-// repeatable sends an idempotent call, again when it fails, and a second
-// copy when the first takes long; the first answer counts.
-func (c *serviceCall) repeatable(ctx context.Context) (CallResponse, error) {
+// sendIdempotent sends an idempotent call. It retries failed attempts and hedges slow ones,
+// and returns the first response.
+func (c *serviceCall) sendIdempotent(ctx context.Context) (CallResponse, error) {
 	c.in.retries.Earn()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	cs := &copies{call: c, ended: make(chan outcome, maxAttempts)}
+	cs := &hedgedCall{call: c, results: make(chan callResult, maxAttempts)}
 	if err := cs.send(ctx); err != nil {
 		return CallResponse{}, err
 	}
@@ -133,7 +134,7 @@
 	var last error
 	for cs.running > 0 {
 		select {
-		case o := <-cs.ended:
+		case o := <-cs.results:
 			cs.running--
 			if o.err == nil || verdict.Of(o.err) == verdict.Ran {
 				return o.ans, o.err
@@ -142,34 +143,35 @@
 		case <-hedge.C:
 			c.in.stats.hedges.Inc(1)
 		}
-		cs.more(ctx)
+		cs.retry(ctx)
 	}
 	if verdict.Of(last) == verdict.NotRun {
-		return CallResponse{}, c.refuse(last)
+		return CallResponse{}, c.notRunError(last)
 	}
 	return CallResponse{}, last
 }
 
-// hedgeAfter is how long a call may take before a second copy is sent.
+// hedgeAfter returns how long a call may take before it is hedged. It is UpstreamTimeout
+// until hedgeSamples calls have been measured.
 func (in *Instance) hedgeAfter() time.Duration {
-	if in.stats.callTime.Count() < hedgeSamples {
+	if in.stats.callLatency.Count() < hedgeSamples {
 		return in.cfg.UpstreamTimeout
 	}
-	return max(hedgeFloor, time.Duration(hedgeMeans*in.stats.callTime.Mean()))
+	return max(hedgeFloor, time.Duration(hedgeMeans*in.stats.callLatency.Mean()))
 }
 
-// send sends one copy of the call to the service at addr.
+// send makes one attempt of the call at the service at addr.
 func (c *serviceCall) send(ctx context.Context, addr string) (CallResponse, error) {
-	defer c.in.load.Release(addr) // taken by pick
-	guarded, err := c.in.quarantine.Guard.Begin(ctx, c.content(), at(c.entry.Pool, addr))
+	defer c.in.load.Release(addr) // reserved by pick
+	guarded, err := c.in.quarantine.Guard.Begin(ctx, c.content(), upstreamEntry(c.entry.Pool, addr))
 	if err != nil {
-		return CallResponse{}, held(err)
+		return CallResponse{}, quarantineError(err)
 	}
 	start := time.Now()
 	body, err := service.NewClient(addr, c.in.http).Call(ctx, c.req.Method, c.req.Key, c.req.Idempotent, c.req.Body)
 	if err == nil || verdict.Of(err) == verdict.Ran {
 		c.in.health.RecordSuccess(addr)
-		c.in.stats.callTime.UpdateSince(start)
+		c.in.stats.callLatency.UpdateSince(start)
 	} else if !errors.Is(ctx.Err(), context.Canceled) {
 		c.in.upstreamFailed(addr, err)
 	}
@@ -180,7 +182,7 @@
 	return CallResponse{Body: body}, nil
 }
 
-// pick chooses a live service not yet tried, and takes a place at it.
+// pick selects a live service that has not been tried, and reserves a slot at it.
 func (c *serviceCall) pick() (string, error) {
 	var ups []catalogue.Upstream
 	for _, u := range c.view.LiveUpstreams(c.entry.Pool, catalogue.Services) {
@@ -191,7 +193,7 @@
 	none := func(catalogue.Upstream) bool { return false }
 	addr, ok := c.in.choose(c.view, ups, none, c.req.Key)
 	if !ok {
-		return "", c.in.noUpstream(c.entry)
+		return "", c.in.noUpstreamError(c.entry)
 	}
 	c.tried = append(c.tried, addr)
 	return addr, nil
--- a/pkg/entry/share.go
+++ b/pkg/entry/share.go
@@ -7,13 +7,12 @@
 	"github.com/zinnialadder/zinnialadder/pkg/route"
 )
 
-// share returns how many requests this instance may have in flight at u, of
-// the u.MaxInFlight that the whole system may: an even part, the remainder
-// going to the instances that u's address ranks first. While instances agree
-// on membership the parts add up to MaxInFlight; an instance that is not among
-// the members it sees has no part, but while it drains, to finish what it has
-// in flight. It returns 0 if u has no limit, and -1 if
-// this instance's part is none.
+// share returns how many of the u.MaxInFlight requests that may be in flight at u are
+// available to this instance. MaxInFlight is divided evenly, and the remainder goes to the
+// instances that rank first for u's address. As long as all instances see the same members,
+// the shares add up to MaxInFlight. An instance that is not among the members it sees has
+// no share, unless it is draining and must finish its requests in flight. share returns 0
+// if u has no limit and -1 if this instance has no share.
 func (in *Instance) share(v *View, u catalogue.Upstream) int {
 	if u.MaxInFlight == 0 {
 		return 0
@@ -23,7 +22,7 @@
 	switch {
 	case !v.Draining && !slices.ContainsFunc(members, self):
 		return -1
-	case len(members) == 0: // the last one, draining
+	case len(members) == 0: // the last instance is draining
 		return u.MaxInFlight
 	}
 	part := u.MaxInFlight / len(members)
@@ -38,9 +37,9 @@
 	return part
 }
 
-// enter takes a place at u within this instance's share of it, to be given
-// back by in.load.Release(u.Address).
-func (in *Instance) enter(v *View, u catalogue.Upstream) bool {
+// acquire reserves a slot at u within this instance's share. It is freed with
+// in.load.Release(u.Address).
+func (in *Instance) acquire(v *View, u catalogue.Upstream) bool {
 	share := in.share(v, u)
 	return share >= 0 && in.load.Acquire(u.Address, share)
 }
--- a/pkg/entry/silent_test.go
+++ b/pkg/entry/silence_test.go
@@ -28,10 +28,10 @@
 	return r
 }
 
-// Every pooled connection to a pool's only engine goes silent for good
-// while new ones work: one request pays the idle timeout, and all of them,
-// also the first, are answered.
-func TestPooledConnectionsGoneSilent(t *testing.T) {
+// Every idle connection to a pool's only engine becomes silent, while new connections work.
+// The first request must be delayed by the idle timeout only, and all requests must be
+// completed.
+func TestSilentIdleConnections(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{WeightVersion: 1, TokenInterval: 5 * time.Millisecond})
 	r := startRelay(t, s.EngineAddrs[0])
 	setUpstreams(t, s, "assistant-pool", r.Addr())
@@ -39,7 +39,7 @@
 		status, _, last := generate(t, s.Entries[0].Addr(), entry.GenerateRequest{Customer: "minho", Entry: "chat",
 			RequestID: fmt.Sprint("silent-", i), Prompt: "p", MaxTokens: 4})
 		if status != http.StatusOK || !last.Done {
-			return fmt.Errorf("request %d: status %d, %+v", i, status, last)
+			return fmt.Errorf("request %d: got status %d and last event %+v, want a complete response", i, status, last)
 		}
 		return nil
 	}
@@ -58,13 +58,13 @@
 		}
 	}
 	if n := s.Entries[0].Counter("upstream_errors") - before; n > 2 {
-		t.Fatalf("%d requests met a silent connection, want the first alone", n)
+		t.Fatalf("got %d failures on silent connections, want at most 2", n)
 	}
 }
 
-// A connection goes silent for good at an engine that has requests waiting all
-// the while: the request on it is sent again on a new connection, and not held
-// until the engine is at rest or its caller gives up.
+// A connection to an engine that always has queued requests becomes silent. The request on
+// it must be retried on a new connection, and not wait until the engine has no more queued
+// requests or the caller's deadline passes.
 func TestSilentConnectionAtABusyEngine(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{WeightVersion: 1, TokenInterval: 10 * time.Millisecond, Slots: 1})
 	r := startRelay(t, s.EngineAddrs[0])
@@ -73,13 +73,13 @@
 		status, _, last := generate(t, s.Entries[0].Addr(), entry.GenerateRequest{Customer: "minho", Entry: "chat",
 			RequestID: id, Prompt: "p", MaxTokens: 4})
 		if status != http.StatusOK || !last.Done {
-			t.Fatalf("request %s: status %d, %+v", id, status, last)
+			t.Fatalf("request %s: got status %d and last event %+v, want a complete response", id, status, last)
 		}
 	}
 	ask("warm-up") // leaves an idle connection in the pool
 	ctx, cancel := context.WithCancel(t.Context())
 	var others errgroup.Group
-	for i := range 4 { // the older system's: 2 s each, in the one slot
+	for i := range 4 { // requests of the legacy system, each occupying the only slot for 2 s
 		others.Go(func() error {
 			st, err := engine.NewClient(s.EngineAddrs[0], nil).Generate(ctx, engine.GenerateRequest{
 				RequestID: fmt.Sprint("other-", i), Prompt: "q", MaxTokens: 200, Priority: engine.PriorityTraining})
@@ -94,19 +94,19 @@
 			}
 		})
 	}
-	waitFor(t, 5*time.Second, "a busy engine", func() bool { return s.Engines[0].Requests() == 5 })
+	waitFor(t, 5*time.Second, "all requests at the engine", func() bool { return s.Engines[0].Requests() == 5 })
 	r.Silence()
 	ask("silent")
 	rep, err := engine.NewClient(s.EngineAddrs[0], nil).LoadReport(t.Context())
 	if err != nil || rep.Queued == 0 {
-		t.Errorf("answered only once the engine was at rest: %+v, %v", rep, err)
+		t.Errorf("engine has no queued requests after the response: report %+v, error %v", rep, err)
 	}
 	cancel()
 	_ = others.Wait()
 }
 
-// setUpstreams replaces the upstreams of a pool and waits until every
-// instance has applied that.
+// setUpstreams replaces the upstreams of a pool and waits until every instance has applied
+// the change.
 func setUpstreams(t *testing.T, s *site.Site, pool string, addrs ...string) {
 	t.Helper()
 	p := s.Entries[0].View().Pools[pool]
@@ -123,9 +123,9 @@
 	}
 }
 
-// A peer link goes silent for good: keepalives find it, and the next hint
-// goes over a new link. The second instance reads by itself once an hour.
-func TestPeerLinkGoneSilentIsReplaced(t *testing.T) {
+// A peer connection becomes silent. Keepalives must detect that, and the next notification
+// must use a new connection. The second instance reads the catalogue only once an hour.
+func TestSilentPeerConnectionIsReplaced(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{WeightVersion: 1})
 	var r *relay.Relay
 	err := s.StartEntryWith("entry-far", func(c *entry.Config) {
@@ -135,15 +135,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far := s.Entries[1]
-	named := func(v uint64) func() bool {
-		return func() bool { return far.View().Targets["assistant-pool"].Version == v }
+	second := s.Entries[1]
+	hasTarget := func(v uint64) func() bool {
+		return func() bool { return second.View().Targets["assistant-pool"].Version == v }
 	}
-	waitFor(t, 5*time.Second, "the first instance knows the second", func() bool { return len(s.Entries[0].View().Members) == 2 })
-	nameVersion(t, s, 0, 2)
-	waitFor(t, 5*time.Second, "a hint over the link", named(2))
+	waitFor(t, 5*time.Second, "the first instance to see the second", func() bool { return len(s.Entries[0].View().Members) == 2 })
+	setTarget(t, s, 0, 2)
+	waitFor(t, 5*time.Second, "a notification over the connection", hasTarget(2))
 	r.Silence()
-	time.Sleep(time.Second) // ten keepalives
-	nameVersion(t, s, 0, 3)
-	waitFor(t, 5*time.Second, "a hint over a new link", named(3))
+	time.Sleep(time.Second) // ten keepalive intervals
+	setTarget(t, s, 0, 3)
+	waitFor(t, 5*time.Second, "a notification over a new connection", hasTarget(3))
 }
--- a/pkg/entry/staleness_prop_test.go
+++ b/pkg/entry/staleness_prop_test.go
@@ -17,44 +17,44 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform/platformtest"
 )
 
-// versionOracle knows when each version was acknowledged to the trainer.
+// versionOracle records when each target version was acknowledged to the trainer.
 type versionOracle struct {
-	mu      sync.Mutex
-	newest  uint64
-	namedAt map[uint64]time.Time
+	mu     sync.Mutex
+	newest uint64
+	setAt  map[uint64]time.Time
 }
 
-func (o *versionOracle) named(v uint64) {
+func (o *versionOracle) recordTarget(v uint64) {
 	o.mu.Lock()
-	o.newest, o.namedAt[v] = v, time.Now()
+	o.newest, o.setAt[v] = v, time.Now()
 	o.mu.Unlock()
 }
 
-// behind returns how many versions after v had been named by at.
+// behind returns how many versions after v had been set at time at.
 func (o *versionOracle) behind(v uint64, at time.Time) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
 	for later := v + 1; later <= o.newest; later++ {
-		if o.namedAt[later].Before(at) {
+		if o.setAt[later].Before(at) {
 			n++
 		}
 	}
 	return n
 }
 
-// Versions advance while engines lag, swaps fail, reports repeat old news
-// and the platform goes down and loses replies: whatever reaches the trainer
-// is at most one version behind what was named when it got there, is
-// labelled with the versions its engines recorded, and came once.
-func TestSamplesAreFreshAndTrulyLabelled(t *testing.T) {
+// The target version advances while engines are slow, loads fail, load reports are stale,
+// and the platform is unavailable or loses responses. Every sample must be at most one
+// version behind the target when it reaches the trainer, be labelled with the versions that
+// its engines recorded, and be delivered once.
+func TestSamplesAreFreshAndCorrectlyLabelled(t *testing.T) {
 	s := startSite(t, 4, 2, enginetest.Config{WeightVersion: 1, TokenInterval: time.Millisecond,
 		WeightStore: &enginetest.WeightStore{FetchTime: 15 * time.Millisecond, FullRateFetches: 2}})
-	o := &versionOracle{namedAt: map[uint64]time.Time{}}
-	if nameVersion(t, s, 0, 1) != http.StatusOK {
-		t.Fatal("version 1 not named")
+	o := &versionOracle{setAt: map[uint64]time.Time{}}
+	if setTarget(t, s, 0, 1) != http.StatusOK {
+		t.Fatal("could not set target version 1")
 	}
-	o.named(1)
+	o.recordTarget(1)
 	round := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		round++
@@ -63,13 +63,13 @@
 		rt.Repeat(map[string]func(*rapid.T){
 			"name": func(rt *rapid.T) {
 				next := o.newest + 1
-				s.Trainer.SetTargetVersion(next) // the trainer knows what it is about to name
-				for try := 0; nameVersion(t, s, rapid.IntRange(0, 1).Draw(rt, "instance"), next) != http.StatusOK; try++ {
-					if try == 3 { // the platform is down: it comes back
+				s.Trainer.SetTargetVersion(next) // the trainer knows the target before it sets it
+				for try := 0; setTarget(t, s, rapid.IntRange(0, 1).Draw(rt, "instance"), next) != http.StatusOK; try++ {
+					if try == 3 { // end the platform's outage
 						s.Platform.SetFaults(platformtest.Faults{})
 					}
 				}
-				o.named(next)
+				o.recordTarget(next)
 			},
 			"generate": func(rt *rapid.T) {
 				n, at := rapid.IntRange(1, 6).Draw(rt, "requests"), rapid.IntRange(0, 1).Draw(rt, "instance")
@@ -102,21 +102,21 @@
 	for _, r := range s.Trainer.Received() {
 		label := r.Sample.WeightVersions
 		if n := o.behind(slices.Min(label), r.At); n > 1 {
-			rt.Fatalf("sample %s of versions %v reached the trainer %d versions behind", r.Sample.ID, label, n)
+			rt.Fatalf("sample %s with weight versions %v reached the trainer %d versions behind, want at most 1", r.Sample.ID, label, n)
 		}
 		if r.Deliveries != 1 {
-			rt.Fatalf("sample %s delivered %d times", r.Sample.ID, r.Deliveries)
+			rt.Fatalf("sample %s was delivered %d times, want 1", r.Sample.ID, r.Deliveries)
 		}
 		id := "minho." + r.Sample.ID[len("minho.drafts."):]
-		made := map[uint64]bool{}
+		recorded := map[uint64]bool{}
 		for _, e := range s.Engines {
 			for _, v := range e.Versions(id) {
-				made[v] = true
+				recorded[v] = true
 			}
 		}
 		for _, v := range label {
-			if !made[v] {
-				rt.Fatalf("sample %s labelled %v; engines made its tokens under %v", r.Sample.ID, label, made)
+			if !recorded[v] {
+				rt.Fatalf("sample %s has weight versions %v, but engines recorded %v", r.Sample.ID, label, recorded)
 			}
 		}
 	}
--- a/pkg/entry/stepgenerate.go
+++ b/pkg/entry/stepgenerate.go
@@ -8,15 +8,16 @@
 	"github.com/zinnialadder/zinnialadder/pkg/trainer"
 )
 
-// shardConfig returns the configuration of the shards of steps that run here.
+// shardConfig returns the configuration of the shards that this instance runs.
 func (in *Instance) shardConfig() shard.Config {
-	return shard.Config{Platform: in.cfg.Platform, Clock: in.cfg.Clock, Logger: in.cfg.Logger, Holder: in.cfg.ID + "/" + in.life,
+	return shard.Config{Platform: in.cfg.Platform, Clock: in.cfg.Clock, Logger: in.cfg.Logger, Holder: in.cfg.ID + "/" + in.processID,
 		View: in.View, Samples: in.samples, Generate: in.generateSample, Policy: in.cfg.StepPolicy, TickInterval: in.cfg.StepTick,
-		DrainTimeout: drainSends, Stale: in.stats.delivery.Stale}
+		DrainTimeout: drainSendTimeout, Stale: in.stats.delivery.Stale}
 }
 
-// generateSample makes one sample of a step. It is named by its group and place,
-// so that a group submitted again in another step is not learned twice.
+// generateSample generates one sample of a step. The sample's ID is derived from its group
+// and index, not the step, so that trainers recognise a group that is submitted again in
+// another step.
 func (in *Instance) generateSample(ctx context.Context, a shard.Attempt) (trainer.Sample, error) {
 	release, err := in.admitEntry(a.Entry)
 	if err != nil {
@@ -24,9 +25,9 @@
 	}
 	defer release()
 	g := a.Spec.Groups[a.Group]
-	gen := &generation{in: in, entry: a.Entry, emit: func(Event) error { return nil }, tried: a.UsedEngines, using: a.OnEngine,
+	gen := &generation{in: in, entry: a.Entry, emit: func(Event) error { return nil }, tried: a.UsedEngines, onEngine: a.OnEngine,
 		req: GenerateRequest{Customer: a.Spec.Customer, Entry: a.Spec.Entry, Prompt: g.Prompt, MaxTokens: g.MaxTokens, Group: g.ID,
-			RequestID: fmt.Sprintf("%s.%s.%d.%s.%d", a.Spec.ID, g.ID, a.Index, in.life, a.Number)}}
+			RequestID: fmt.Sprintf("%s.%s.%d.%s.%d", a.Spec.ID, g.ID, a.Index, in.processID, a.Number)}}
 	res, err := gen.run(ctx)
 	if err != nil {
 		return trainer.Sample{}, err
--- a/pkg/entry/steps.go
+++ b/pkg/entry/steps.go
@@ -16,11 +16,11 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// StepStatus is the answer to GET /v1/steps/{customer}/{entry}/{id}.
+// StepStatus is the response to GET /v1/steps/{customer}/{entry}/{id}.
 type StepStatus struct {
 	Desired   int         `json:"desired"`
 	Groups    int         `json:"groups"`
-	Delivered int         `json:"delivered"` // groups that the trainer holds
+	Delivered int         `json:"delivered"` // groups that the trainer has acknowledged
 	DueAt     time.Time   `json:"due_at"`
 	Closed    step.Reason `json:"closed,omitempty"`
 }
@@ -29,13 +29,13 @@
 	return StepStatus{Desired: head.Desired, Groups: head.Groups, Delivered: delivered, DueAt: head.Deadline, Closed: head.Closed}
 }
 
-// serveStep answers POST /v1/steps: 202 once the step is kept, also if it
-// was kept before; from then on it runs whatever becomes of this instance.
+// serveStep handles POST /v1/steps. It responds with 202 once the step is stored, also if
+// it was stored before. A stored step runs even if this instance stops.
 func (in *Instance) serveStep(w http.ResponseWriter, r *http.Request) {
 	in.stats.requests.Inc(1)
 	var spec step.Spec
 	if err := decode(w, r, &spec); err != nil {
-		in.fail(w, err)
+		in.writeError(w, err)
 		return
 	}
 	err := in.authorize(r, spec.Customer)
@@ -44,7 +44,7 @@
 		head, err = in.acceptStep(r.Context(), spec)
 	}
 	if err != nil {
-		in.fail(w, err)
+		in.writeError(w, err)
 		return
 	}
 	w.Header().Set(verdict.Header, verdict.Ran.String())
@@ -62,31 +62,32 @@
 	case err != nil:
 		return step.Head{}, err
 	case e.Class != catalogue.Training:
-		return step.Head{}, verdict.BadRequest("step: entry %s is of class %s, not training", e.Name, e.Class)
+		return step.Head{}, verdict.BadRequest("step: entry %s is of class %s, want training", e.Name, e.Class)
 	case view.Draining:
 		return step.Head{}, verdict.Refuse(http.StatusServiceUnavailable, now, errDraining)
 	case !spec.Deadline.After(now):
-		return step.Head{}, verdict.BadRequest("step %s: due_at has passed", spec.ID)
+		return step.Head{}, verdict.BadRequest("step %s: due_at is in the past", spec.ID)
 	}
 	for _, g := range spec.Groups {
 		if g.MaxTokens > e.Limits.MaxTokens {
-			return step.Head{}, verdict.BadRequest("step %s: group %s: max_tokens %d is over entry %s's limit of %d",
+			return step.Head{}, verdict.BadRequest("step %s: group %s: max_tokens %d exceeds entry %s's limit of %d",
 				spec.ID, g.ID, g.MaxTokens, e.Name, e.Limits.MaxTokens)
 		}
 	}
-	head, err := in.keepStep(ctx, spec)
+	head, err := in.storeStep(ctx, spec)
 	if err == nil {
 		in.post(ctx, control.StepAccepted{})
 	}
 	return head, err
 }
 
-// keepStep stores the step: its Spec first, so that a head always has one,
-// then its head, which makes it accepted.
-func (in *Instance) keepStep(ctx context.Context, spec step.Spec) (step.Head, error) {
+// storeStep stores the step. It writes the Spec first, so that every head has one, and then
+// the head, which makes the step accepted. It returns a NotRun error with status 409 if
+// another step has the same ID.
+func (in *Instance) storeStep(ctx context.Context, spec step.Spec) (step.Head, error) {
 	head := step.NewHead(spec, in.cfg.ShardGroups)
 	if err := in.putSpec(ctx, spec); err != nil {
-		return step.Head{}, in.unkept(verdict.NotRun, err) // without a head it never runs
+		return step.Head{}, in.notStoredError(verdict.NotRun, err) // a step without a head never runs
 	}
 	op, err := platform.Put(step.HeadKey(spec.Key()), 0, head)
 	if err != nil {
@@ -96,19 +97,19 @@
 	var ce *platform.ConflictError
 	if !errors.As(err, &ce) {
 		if err != nil {
-			return step.Head{}, in.unkept(verdict.MayHaveRun, err) // submitting it again is safe
+			return step.Head{}, in.notStoredError(verdict.MayHaveRun, err) // submitting the step again is safe
 		}
 		return head, nil
 	}
-	kept, err := step.DecodeHead(ce.Current)
+	stored, err := step.DecodeHead(ce.Current)
 	if err != nil {
 		return step.Head{}, err
 	}
-	if kept.Digest != head.Digest {
+	if stored.Digest != head.Digest {
 		return step.Head{}, verdict.New(verdict.NotRun, http.StatusConflict,
-			fmt.Errorf("step %s was submitted before with other contents", spec.ID))
+			fmt.Errorf("step %s was already submitted with different contents", spec.ID))
 	}
-	return kept, nil
+	return stored, nil
 }
 
 func (in *Instance) putSpec(ctx context.Context, spec step.Spec) error {
@@ -119,43 +120,43 @@
 	return in.cfg.Platform.PutObject(ctx, step.ObjectName(spec.Key(), spec.Digest()), b)
 }
 
-// unkept is the error of a step that the platform did not confirm.
-func (in *Instance) unkept(v verdict.Verdict, err error) error {
-	return &verdict.Error{Verdict: v, Status: http.StatusServiceUnavailable, RetryAt: in.comeBackAt(),
-		Err: fmt.Errorf("step: not kept: %w", err)}
+// notStoredError returns the error of a step that the platform did not confirm.
+func (in *Instance) notStoredError(v verdict.Verdict, err error) error {
+	return &verdict.Error{Verdict: v, Status: http.StatusServiceUnavailable, RetryAt: in.defaultRetryAt(),
+		Err: fmt.Errorf("step: could not store it: %w", err)}
 }
 
-// serveStepStatus answers GET /v1/steps/{customer}/{entry}/{id}.
+// serveStepStatus handles GET /v1/steps/{customer}/{entry}/{id}.
 func (in *Instance) serveStepStatus(w http.ResponseWriter, r *http.Request) {
 	if err := in.authorize(r, r.PathValue("customer")); err != nil {
-		in.fail(w, err)
+		in.writeError(w, err)
 		return
 	}
 	key := step.Key(r.PathValue("customer"), r.PathValue("entry"), r.PathValue("id"))
 	head, _, err := step.ReadHead(r.Context(), in.cfg.Platform, key)
 	if err != nil {
-		in.fail(w, in.stepError(key, err))
+		in.writeError(w, in.stepError(key, err))
 		return
 	}
 	n, err := step.CountDelivered(r.Context(), in.cfg.Platform, key)
 	if err != nil {
-		in.fail(w, in.stepError(key, err))
+		in.writeError(w, in.stepError(key, err))
 		return
 	}
 	httpjson.Write(w, http.StatusOK, stepStatus(head, n))
 }
 
-// serveStepCancel answers DELETE /v1/steps/{customer}/{entry}/{id}: 204 once
-// the step is closed, also if it was before.
+// serveStepCancel handles DELETE /v1/steps/{customer}/{entry}/{id}. It responds with 204
+// once the step is closed, also if it was closed before.
 func (in *Instance) serveStepCancel(w http.ResponseWriter, r *http.Request) {
 	if err := in.authorize(r, r.PathValue("customer")); err != nil {
-		in.fail(w, err)
+		in.writeError(w, err)
 		return
 	}
 	key := step.Key(r.PathValue("customer"), r.PathValue("entry"), r.PathValue("id"))
 	closed, err := step.Close(r.Context(), in.cfg.Platform, key, step.Cancelled, in.cfg.Clock.Now())
 	if err != nil {
-		in.fail(w, in.stepError(key, err))
+		in.writeError(w, in.stepError(key, err))
 		return
 	}
 	if closed {
@@ -166,8 +167,8 @@
 
 func (in *Instance) stepError(key string, err error) error {
 	if errors.Is(err, platform.ErrNotFound) {
-		return verdict.New(verdict.NotRun, http.StatusNotFound, fmt.Errorf("no step %s", key))
+		return verdict.New(verdict.NotRun, http.StatusNotFound, fmt.Errorf("step %s not found", key))
 	}
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Status: http.StatusServiceUnavailable,
-		RetryAt: in.comeBackAt(), Err: err}
+		RetryAt: in.defaultRetryAt(), Err: err}
 }
--- a/pkg/entry/steps_test.go
+++ b/pkg/entry/steps_test.go
@@ -16,7 +16,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/step"
 )
 
-// stepSpec is a step of groups×size short generations of entry drafts.
+// stepSpec returns a step of entry drafts with the given number of groups of size short
+// generations.
 func stepSpec(id string, groups, size, desired int) step.Spec {
 	s := step.Spec{Customer: "minho", Entry: "drafts", ID: id, Desired: desired, Deadline: time.Now().Add(20 * time.Second).UTC()}
 	for i := range groups {
@@ -25,7 +26,7 @@
 	return s
 }
 
-// submit sends s to instance i and returns the answer's status.
+// submit submits s to instance i and returns the response status.
 func submit(t testing.TB, st *site.Site, i int, s step.Spec) int {
 	t.Helper()
 	return statusOf(t, entry.NewClient(st.Entries[i].Addr(), nil).SubmitStep(context.Background(), s))
@@ -37,60 +38,58 @@
 	return got
 }
 
-// wholeGroups returns the groups whose samples the trainer holds all of,
-// failing if a sample was delivered other than once.
-func wholeGroups(t testing.TB, st *site.Site, size int) int {
+// completeGroups returns the number of groups at the trainer. It fails the test if a group
+// is incomplete or a sample was delivered more than once.
+func completeGroups(t testing.TB, st *site.Site, size int) int {
 	t.Helper()
 	for _, r := range st.Trainer.Received() {
 		if r.Deliveries != 1 {
-			t.Fatalf("sample %s delivered %d times", r.Sample.ID, r.Deliveries)
+			t.Fatalf("sample %s was delivered %d times, want 1", r.Sample.ID, r.Deliveries)
 		}
 	}
-	return learnedGroups(t, st, size)
+	return acceptedGroups(t, st, size)
 }
 
-// learnedGroups is wholeGroups where the platform's outage may hide from the
-// next holder what was acknowledged: a sample may be sent again, the very same
-// one, which the trainer does not learn twice.
-func learnedGroups(t testing.TB, st *site.Site, size int) int {
+// acceptedGroups is like completeGroups but allows repeated deliveries of an identical
+// sample. They happen if a platform outage hides an acknowledgement from the next holder.
+func acceptedGroups(t testing.TB, st *site.Site, size int) int {
 	t.Helper()
 	count := map[string]int{}
 	for _, r := range st.Trainer.Received() {
 		if r.Altered {
-			t.Fatalf("sample %s sent again with other contents", r.Sample.ID)
+			t.Fatalf("sample %s was delivered again with different contents", r.Sample.ID)
 		}
 		count[r.Sample.Group]++
 	}
 	whole := 0
 	for g, n := range count {
 		if n != size {
-			t.Fatalf("group %s: trainer holds %d of %d samples", g, n, size)
+			t.Fatalf("group %s: trainer got %d samples, want %d", g, n, size)
 		}
 		whole++
 	}
 	return whole
 }
 
-// A step runs on several instances, reaches its trainer in whole groups,
-// closes once the desired groups are recorded, and is accepted once however
-// often it is submitted.
-func TestStepIsDeliveredInWholeGroups(t *testing.T) {
+// A step must run on several instances, reach its trainer in complete groups, close once
+// the desired groups are recorded, and be accepted once even if it is submitted repeatedly.
+func TestStepIsDeliveredInCompleteGroups(t *testing.T) {
 	s := startSite(t, 3, 3, enginetest.Config{WeightVersion: 1})
 	spec := stepSpec("s1", 24, 4, 18)
 	for i := range 3 {
 		if status := submit(t, s, i, spec); status != http.StatusOK {
-			t.Fatalf("submission %d answered %d", i, status)
+			t.Fatalf("submission %d: got status %d, want 200", i, status)
 		}
 	}
 	other := spec
 	other.Desired = 20
 	if status := submit(t, s, 0, other); status != http.StatusConflict {
-		t.Fatalf("other contents under the same id answered %d, want 409", status)
+		t.Fatalf("different contents with the same ID: got status %d, want 409", status)
 	}
-	waitFor(t, 15*time.Second, "the step complete", func() bool { return stepStatus(t, s, 1, "s1").Closed == step.Complete })
-	waitFor(t, 5*time.Second, "every record delivered", func() bool { return len(s.Platform.Rows("delivery/")) == 0 })
-	if n := wholeGroups(t, s, 4); n < 18 {
-		t.Fatalf("trainer holds %d whole groups, want 18", n)
+	waitFor(t, 15*time.Second, "the step to complete", func() bool { return stepStatus(t, s, 1, "s1").Closed == step.Complete })
+	waitFor(t, 5*time.Second, "every record to be delivered", func() bool { return len(s.Platform.Rows("delivery/")) == 0 })
+	if n := completeGroups(t, s, 4); n < 18 {
+		t.Fatalf("trainer got %d complete groups, want at least 18", n)
 	}
 	ran := 0
 	for _, in := range s.Entries {
@@ -99,128 +98,128 @@
 		}
 	}
 	if ran < 2 {
-		t.Fatalf("%d instances ran the step, want several", ran)
+		t.Fatalf("step ran on %d instances, want at least 2", ran)
 	}
 }
 
-// Instances leave and the platform loses replies and goes down in the
-// middle of a step: each sample still reaches the trainer once, in whole
-// groups, and the step completes.
-func TestStepOutlivesInstancesAndOutages(t *testing.T) {
+// An instance stops, and the platform loses responses and is unavailable during a step.
+// Each sample must still reach the trainer in a complete group, be accepted once, and the
+// step must complete.
+func TestStepSurvivesInstancesAndOutages(t *testing.T) {
 	s := startSite(t, 3, 3, enginetest.Config{WeightVersion: 1, TokenInterval: 5 * time.Millisecond})
 	submit(t, s, 0, stepSpec("s2", 24, 4, 24))
-	waitFor(t, 10*time.Second, "the step under way", func() bool { return len(s.Trainer.Received()) > 8 })
+	waitFor(t, 10*time.Second, "the step to make progress", func() bool { return len(s.Trainer.Received()) > 8 })
 	s.Platform.SetFaults(platformtest.Faults{LoseReplies: 3, LosePrefix: "delivery/"})
 	s.StopEntry(0)
 	time.Sleep(200 * time.Millisecond)
 	s.Platform.SetFaults(platformtest.Faults{Down: true})
 	time.Sleep(500 * time.Millisecond)
 	s.Platform.SetFaults(platformtest.Faults{})
-	waitFor(t, 20*time.Second, "the step complete", func() bool { return stepStatus(t, s, 1, "s2").Closed == step.Complete })
-	waitFor(t, 20*time.Second, "every record delivered", func() bool { return len(s.Platform.Rows("delivery/")) == 0 })
-	if n := learnedGroups(t, s, 4); n != 24 {
-		t.Fatalf("trainer holds %d whole groups, want 24", n)
+	waitFor(t, 20*time.Second, "the step to complete", func() bool { return stepStatus(t, s, 1, "s2").Closed == step.Complete })
+	waitFor(t, 20*time.Second, "every record to be delivered", func() bool { return len(s.Platform.Rows("delivery/")) == 0 })
+	if n := acceptedGroups(t, s, 4); n != 24 {
+		t.Fatalf("trainer got %d complete groups, want 24", n)
 	}
 }
 
-// An instance that leaves in good order in the middle of a step finishes its
-// deliveries first: nothing is sent twice.
+// An instance that drains during a step must complete its deliveries first, so that nothing
+// is sent twice.
 func TestStepHandedOverSendsNothingTwice(t *testing.T) {
 	s := startSite(t, 3, 3, enginetest.Config{WeightVersion: 1, TokenInterval: 2 * time.Millisecond})
-	s.Trainer.Delay(600 * time.Millisecond) // deliveries are under way when the instance leaves
+	s.Trainer.Delay(600 * time.Millisecond) // deliveries are in progress when the instance stops
 	submit(t, s, 0, stepSpec("hand", 48, 4, 48))
 	for i := range 2 {
-		waitFor(t, 10*time.Second, "the step under way", func() bool { return len(s.Trainer.Received()) > 8+40*i })
+		waitFor(t, 10*time.Second, "the step to make progress", func() bool { return len(s.Trainer.Received()) > 8+40*i })
 		s.StopEntry(i)
 		<-s.EntryDone(i)
 	}
-	waitFor(t, 20*time.Second, "the step complete", func() bool { return stepStatus(t, s, 2, "hand").Closed == step.Complete })
-	if n := wholeGroups(t, s, 4); n != 48 {
-		t.Fatalf("trainer holds %d whole groups, want 48", n)
+	waitFor(t, 20*time.Second, "the step to complete", func() bool { return stepStatus(t, s, 2, "hand").Closed == step.Complete })
+	if n := completeGroups(t, s, 4); n != 48 {
+		t.Fatalf("trainer got %d complete groups, want 48", n)
 	}
 }
 
-// Stragglers do not hold a step up: one engine is seventy-five times slower
-// than the others, though never so silent as to be given up, and the step
-// completes long before that engine could be done with its first item.
-func TestStragglersDoNotHoldTheStep(t *testing.T) {
+// One engine is 75 times slower than the others, but sends often enough not to reach the
+// idle timeout. The step must complete long before that engine could complete its first
+// item.
+func TestStragglersDoNotDelayStep(t *testing.T) {
 	s := startSite(t, 3, 2, enginetest.Config{WeightVersion: 1, TokenInterval: 2 * time.Millisecond})
-	s.Engines[0].SetFaults(enginetest.Faults{SlowFactor: 75}) // 150 ms a token; the idle timeout is 200 ms
+	s.Engines[0].SetFaults(enginetest.Faults{SlowFactor: 75}) // 150 ms per token; the idle timeout is 200 ms
 	spec := stepSpec("s3", 16, 4, 16)
 	for i := range spec.Groups {
-		spec.Groups[i].MaxTokens = 60 // 9 s at the slow engine, 120 ms at the others
+		spec.Groups[i].MaxTokens = 60 // 9 s on the slow engine, 120 ms on the others
 	}
 	start := time.Now()
 	submit(t, s, 0, spec)
-	waitFor(t, 15*time.Second, "the step complete", func() bool { return stepStatus(t, s, 1, "s3").Closed == step.Complete })
+	waitFor(t, 15*time.Second, "the step to complete", func() bool { return stepStatus(t, s, 1, "s3").Closed == step.Complete })
 	if took := time.Since(start); took > 7*time.Second {
-		t.Fatalf("step took %v", took)
+		t.Fatalf("step took %v, want at most 7s", took)
 	}
 }
 
-// A trainer ends a step: no more of it is delivered, and its work stops.
+// If a trainer cancels a step, its generations must stop.
 func TestCancelledStepStops(t *testing.T) {
 	s := startSite(t, 2, 2, enginetest.Config{WeightVersion: 1, TokenInterval: 20 * time.Millisecond})
 	submit(t, s, 0, stepSpec("s4", 64, 4, 64))
-	waitFor(t, 10*time.Second, "the step under way", func() bool { return s.Engines[0].Requests()+s.Engines[1].Requests() > 0 })
+	waitFor(t, 10*time.Second, "the step to make progress", func() bool { return s.Engines[0].Requests()+s.Engines[1].Requests() > 0 })
 	if err := entry.NewClient(s.Entries[1].Addr(), nil).CancelStep(context.Background(), "minho", "drafts", "s4"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(time.Second) // a third of the shard lease
+	time.Sleep(time.Second) // the duration of the shard lease
 	before := s.Engines[0].Requests() + s.Engines[1].Requests()
 	time.Sleep(500 * time.Millisecond)
 	if after := s.Engines[0].Requests() + s.Engines[1].Requests(); after != before {
-		t.Fatalf("%d more generations after the step was cancelled", after-before)
+		t.Fatalf("got %d generations after the step was cancelled, want 0", after-before)
 	}
 }
 
-// Steps closed long ago, and members long gone, leave nothing behind.
-func TestOldStepsAndMembersAreRemoved(t *testing.T) {
+// The rows and objects of steps and members whose retention has ended must be deleted.
+func TestExpiredStepsAndMembersAreDeleted(t *testing.T) {
 	s := startSite(t, 2, 0, enginetest.Config{WeightVersion: 1})
 	if err := s.StartEntryWith("sweeper", func(c *entry.Config) { c.StepRetention, c.MemberRetention = time.Second, time.Second }); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, 5*time.Second, "the catalogue applied", func() bool { return len(s.Entries[0].View().Entries) > 0 })
+	waitFor(t, 5*time.Second, "the instance to apply the catalogue", func() bool { return len(s.Entries[0].View().Entries) > 0 })
 	s.Platform.Put("member/gone", lease.Lease{Holder: "gone", ExpiresAt: time.Now().Add(-time.Minute), Data: []byte("{}")})
 	submit(t, s, 0, stepSpec("old", 4, 2, 4))
-	waitFor(t, 10*time.Second, "the step complete", func() bool { return stepStatus(t, s, 0, "old").Closed == step.Complete })
-	waitFor(t, 10*time.Second, "step and member removed", func() bool {
+	waitFor(t, 10*time.Second, "the step to complete", func() bool { return stepStatus(t, s, 0, "old").Closed == step.Complete })
+	waitFor(t, 10*time.Second, "the step and the member to be deleted", func() bool {
 		return len(s.Platform.Rows("step")) == 0 && len(s.Platform.Rows("member/")) == 1 && s.Platform.Objects() == 0
 	})
 }
 
-// Groups that the trainer turns away as too old, since it named a version
-// while they were under way, do not count: they are made again, and the step
-// completes only once the trainer holds the desired groups.
-func TestGroupsTurnedAwayAreMadeAgain(t *testing.T) {
+// Groups that the trainer rejects because it set a newer target version in the meantime
+// must not count. They must be generated again, and the step must complete only once the
+// trainer has the desired groups.
+func TestRejectedGroupsAreGeneratedAgain(t *testing.T) {
 	s := startSite(t, 2, 2, enginetest.Config{WeightVersion: 1})
-	nameVersion(t, s, 0, 1)
+	setTarget(t, s, 0, 1)
 	s.Trainer.SetTargetVersion(3)
 	submit(t, s, 0, stepSpec("away", 8, 2, 8))
 	stale := func() int64 {
 		return s.Entries[0].Counter("samples_refused_stale") + s.Entries[1].Counter("samples_refused_stale")
 	}
-	waitFor(t, 10*time.Second, "groups turned away", func() bool { return stale() >= 8 })
+	waitFor(t, 10*time.Second, "groups to be rejected", func() bool { return stale() >= 8 })
 	if st := stepStatus(t, s, 0, "away"); st.Closed != "" || st.Delivered != 0 {
-		t.Fatalf("step %+v with every group turned away", st)
+		t.Fatalf("got step status %+v with every group rejected, want an open step with 0 delivered", st)
 	}
-	nameVersion(t, s, 0, 3)
-	waitFor(t, 15*time.Second, "the step complete", func() bool { return stepStatus(t, s, 0, "away").Closed == step.Complete })
-	if n := wholeGroups(t, s, 2); n != 8 {
-		t.Fatalf("trainer holds %d whole groups when the step is complete, want 8", n)
+	setTarget(t, s, 0, 3)
+	waitFor(t, 15*time.Second, "the step to complete", func() bool { return stepStatus(t, s, 0, "away").Closed == step.Complete })
+	if n := completeGroups(t, s, 2); n != 8 {
+		t.Fatalf("trainer got %d complete groups by the time the step was complete, want 8", n)
 	}
 }
 
-// With many shards at work each one's lease lives longer, so that their
-// renewals together stay within what the platform can write.
-func TestShardLeasesLiveLongerWithManyShards(t *testing.T) {
+// Shard leases must have a longer TTL if there are many shards, so that the renewals do not
+// exceed the platform's write capacity.
+func TestShardLeaseTTLGrowsWithShards(t *testing.T) {
 	s := startSite(t, 2, 1, enginetest.Config{WeightVersion: 1, TokenInterval: 20 * time.Millisecond})
-	nameVersion(t, s, 0, 1)
+	setTarget(t, s, 0, 1)
 	const groups, perShard, perSecond = 160, 4, 45
 	spec := stepSpec("many", groups, 2, groups)
 	submit(t, s, 0, spec)
 	client := platform.NewClient(s.PlatformURL, nil)
-	waitFor(t, 5*time.Second, "a lease in proportion to the shards", func() bool {
+	waitFor(t, 5*time.Second, "a shard lease with a TTL in proportion to the number of shards", func() bool {
 		row, err := client.Get(context.Background(), step.ShardKey(spec.Key(), 0))
 		if err != nil {
 			return false
--- a/pkg/entry/sweep.go
+++ b/pkg/entry/sweep.go
@@ -12,11 +12,11 @@
 	"github.com/zinnialadder/zinnialadder/pkg/step"
 )
 
-// sweep clears up, if this instance holds the sweeper lease: it sends
-// samples whose record is older than e.olderThan and, if asked to, removes
-// steps and members long gone. Two sweepers at once (a paused holder that has not yet
-// seen its lease lapse) would only send a sample twice, which its trainer
-// does not learn twice.
+// sweep sends the samples whose records are older than e.OlderThan and, if e.Purge is set,
+// deletes expired steps, members and claims. It does nothing unless this instance holds the
+// sweeper lease. If two instances sweep at once, because a paused holder has not noticed
+// that its lease expired, a sample may be sent twice, which its trainer recognises by the
+// ID.
 func (in *Instance) sweep(ctx context.Context, e control.Sweep) (int, error) {
 	now := in.cfg.Clock.Now()
 	if _, err := lease.Acquire(ctx, in.cfg.Platform, control.SweeperLease, in.cfg.ID, now, now.Add(3*in.cfg.SweepInterval), nil); err != nil {
@@ -33,40 +33,40 @@
 	return in.samples.Sweep(ctx, e.OlderThan)
 }
 
-// purge removes steps and members long gone.
+// purge deletes steps, members and claims whose retention has ended.
 func (in *Instance) purge(ctx context.Context, now time.Time) error {
-	if err := in.sweepSteps(ctx, now.Add(-in.cfg.StepRetention)); err != nil {
+	if err := in.purgeSteps(ctx, now.Add(-in.cfg.StepRetention)); err != nil {
 		return err
 	}
-	if err := in.sweepMembers(ctx, now.Add(-in.cfg.MemberRetention)); err != nil {
+	if err := in.purgeMembers(ctx, now.Add(-in.cfg.MemberRetention)); err != nil {
 		return err
 	}
-	return in.sweepClaims(ctx, now)
+	return in.purgeClaims(ctx, now)
 }
 
-// Bounds of one sweep of old claims, so that it fits in a platform timeout;
-// the next goes on.
+// Limits of one purge of claims, chosen so that it finishes within a platform timeout. The
+// next purge continues.
 const (
-	claimDaysSwept  = 7   // days looked at, before those kept
-	claimsPerRemove = 100 // rows removed in one transaction
-	claimRemoves    = 10  // transactions in one sweep
+	claimDaysPurged = 7   // days scanned before the retention period
+	claimsPerCommit = 100 // rows deleted in one transaction
+	maxClaimCommits = 10  // transactions in one purge
 )
 
-// sweepClaims removes claims of days no longer kept. A call with such a key
-// would run again, as docs/OPERATIONS.md says.
-func (in *Instance) sweepClaims(ctx context.Context, now time.Time) error {
-	removes := 0
-	for ago := claim.RetentionDays + 1; ago <= claim.RetentionDays+claimDaysSwept; ago++ {
+// purgeClaims deletes the claims of days before the retention period. A call whose claim is
+// deleted would run again, as docs/OPERATIONS.md says.
+func (in *Instance) purgeClaims(ctx context.Context, now time.Time) error {
+	commits := 0
+	for ago := claim.RetentionDays + 1; ago <= claim.RetentionDays+claimDaysPurged; ago++ {
 		prefix := claim.Key(now.AddDate(0, 0, -ago), "")
-		for ; removes < claimRemoves; removes++ {
-			rows, err := in.cfg.Platform.ScanLimit(ctx, prefix, claimsPerRemove)
+		for ; commits < maxClaimCommits; commits++ {
+			rows, err := in.cfg.Platform.ScanLimit(ctx, prefix, claimsPerCommit)
 			if err != nil {
 				return err
 			}
 			if len(rows) == 0 {
 				break
 			}
-			if err := in.removeAll(ctx, rows); err != nil {
+			if err := in.deleteAll(ctx, rows); err != nil {
 				return err
 			}
 		}
@@ -74,9 +74,9 @@
 	return nil
 }
 
-// removeAll deletes rows as they were read in one transaction, or none if one
-// has changed since.
-func (in *Instance) removeAll(ctx context.Context, rows []platform.Row) error {
+// deleteAll deletes rows in one transaction. If one of them has changed since it was read,
+// none is deleted.
+func (in *Instance) deleteAll(ctx context.Context, rows []platform.Row) error {
 	ops := make([]platform.Op, len(rows))
 	for i, row := range rows {
 		ops[i] = platform.Delete(row.Key, row.Version)
@@ -85,10 +85,9 @@
 	return err
 }
 
-// sweepSteps removes steps closed before closedBefore: first their shards
-// and Spec, then their heads, so that what is left of a sweep cut short is
-// found again.
-func (in *Instance) sweepSteps(ctx context.Context, closedBefore time.Time) error {
+// purgeSteps deletes steps closed before closedBefore. It deletes the head of a step last,
+// so that the next purge finds what an interrupted one left.
+func (in *Instance) purgeSteps(ctx context.Context, closedBefore time.Time) error {
 	heads, err := step.List(ctx, in.cfg.Platform)
 	if err != nil {
 		return err
@@ -97,19 +96,19 @@
 		if h.Closed == "" || !h.ClosedAt.Before(closedBefore) {
 			continue
 		}
-		if err := in.removeStep(ctx, key, h); err != nil {
+		if err := in.deleteStep(ctx, key, h); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (in *Instance) removeStep(ctx context.Context, key string, h step.Head) error {
+func (in *Instance) deleteStep(ctx context.Context, key string, h step.Head) error {
 	shards, err := in.cfg.Platform.Scan(ctx, step.ShardsPrefix(key))
 	if err != nil {
 		return err
 	}
-	if err := in.remove(ctx, shards...); err != nil {
+	if err := in.deleteEach(ctx, shards...); err != nil {
 		return err
 	}
 	if err := in.cfg.Platform.DeleteObject(ctx, step.ObjectName(key, h.Digest)); err != nil {
@@ -119,27 +118,28 @@
 	if err != nil {
 		return err
 	}
-	return in.remove(ctx, head)
+	return in.deleteEach(ctx, head)
 }
 
-func (in *Instance) sweepMembers(ctx context.Context, expiredBefore time.Time) error {
+func (in *Instance) purgeMembers(ctx context.Context, expiredBefore time.Time) error {
 	rows, err := in.cfg.Platform.Scan(ctx, memberPrefix)
 	if err != nil {
 		return err
 	}
-	for _, row := range in.splitMembers(rows) {
+	for _, row := range in.splitQuarantineRows(rows) {
 		if l, err := lease.Decode(row); err != nil || l.Live(expiredBefore) {
 			continue
 		}
-		if err := in.remove(ctx, row); err != nil {
+		if err := in.deleteEach(ctx, row); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// remove deletes rows as they were read; a row changed since is left alone.
-func (in *Instance) remove(ctx context.Context, rows ...platform.Row) error {
+// deleteEach deletes rows one by one. A row that has changed since it was read is not
+// deleted.
+func (in *Instance) deleteEach(ctx context.Context, rows ...platform.Row) error {
 	for _, row := range rows {
 		_, err := in.cfg.Platform.Commit(ctx, platform.Delete(row.Key, row.Version))
 		var ce *platform.ConflictError
--- /dev/null
+++ b/pkg/entry/watchdog.go
@@ -0,0 +1,107 @@
+package entry
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"github.com/zinnialadder/zinnialadder/pkg/engine"
+)
+
+// watchdog monitors one attempt's stream. When the engine has been silent for IdleTimeout,
+// the watchdog reads the engine's load report on another connection. It ends the attempt
+// with errIdleTimeout if the engine does not respond, or if two reports in a row do not
+// explain the silence. A silent stream is expected while the engine loads weights or has
+// this request queued. A single unexplained report is tolerated because the engine may be
+// processing a long prompt.
+type watchdog struct {
+	in     *Instance
+	ctx    context.Context
+	cancel context.CancelCauseFunc
+	addr   string
+	id     string // the request's ID at the engine
+
+	mu          sync.Mutex
+	timer       *time.Timer
+	started     bool // a chunk has been received
+	idleReports int  // consecutive reports that did not explain the silence
+}
+
+// maxIdleReports is the number of consecutive reports that do not explain the silence after
+// which the attempt ends.
+const maxIdleReports = 2
+
+// startWatchdog starts monitoring the attempt of request id at the engine at addr. cancel
+// must cancel ctx, which is the attempt's context.
+func (in *Instance) startWatchdog(ctx context.Context, cancel context.CancelCauseFunc, addr, id string) *watchdog {
+	s := &watchdog{in: in, ctx: ctx, cancel: cancel, addr: addr, id: id}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.timer = time.AfterFunc(in.cfg.IdleTimeout, s.expire)
+	return s
+}
+
+// received records that a chunk was received.
+func (s *watchdog) received() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.started, s.idleReports = true, 0
+	s.timer.Reset(s.in.cfg.IdleTimeout)
+}
+
+// stop stops the watchdog.
+func (s *watchdog) stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.timer.Stop()
+}
+
+// expire runs when no chunk has been received for IdleTimeout.
+func (s *watchdog) expire() {
+	explained, err := s.checkEngine()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.ctx.Err() != nil {
+		return
+	}
+	if explained {
+		s.idleReports = 0
+	} else {
+		s.idleReports++
+	}
+	if err != nil || s.idleReports >= maxIdleReports {
+		s.cancel(errIdleTimeout)
+		return
+	}
+	s.timer.Reset(s.in.cfg.IdleTimeout)
+}
+
+// hasStarted reports whether a chunk has been received.
+func (s *watchdog) hasStarted() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.started
+}
+
+// checkEngine reads the engine's load report and reports whether it explains the silence.
+// It returns an error if the engine does not respond. Queued requests explain the silence
+// only if this request is one of them: it may have been lost, or have run and its response
+// been lost.
+func (s *watchdog) checkEngine() (explained bool, err error) {
+	ctx, cancel := context.WithTimeout(s.ctx, s.in.cfg.IdleTimeout)
+	defer cancel()
+	client := engine.NewClient(s.addr, s.in.reportHTTP)
+	rep, err := client.LoadReport(ctx)
+	if err != nil || rep.Loading {
+		return rep.Loading, err
+	}
+	if s.hasStarted() || rep.Queued == 0 {
+		return false, nil
+	}
+	st, err := client.RequestStatus(ctx, s.id)
+	if errors.Is(err, engine.ErrNoStatus) {
+		return true, nil
+	}
+	return st.State == engine.RequestQueued, err
+}
