--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -1,6 +1,5 @@
-// Package forward sends callers' requests to upstreams: it chooses the
-// upstream, tries again where that is allowed, and tells whether a request
-// that got no answer may have run.
+// Package forward sends callers' requests to upstreams. It selects the upstream, retries
+// where the route allows it, and reports whether a request without a response may have run.
 package forward
 
 import (
@@ -24,26 +23,29 @@
 type Request struct {
 	ID     string
 	Method string
-	URI    string // path and query, as sent
+	URI    string // path and query, unchanged
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Deadline is when its caller stops waiting; zero if the caller did not say.
+	// Deadline is when the caller stops waiting. It is zero if the caller set no deadline.
 	Deadline time.Time
-	// Model that it asks for; empty for none.
+	// Model is the requested model. It is empty if the request names none.
 	Model string
-	// Customer whose key its caller has; empty for a request that needs no key.
+	// Customer is the customer whose API key the caller sent. It is empty for a request
+	// that needs no key.
 	Customer string
-	// Priority at the upstream, if it has one of its own; 0 is the most urgent.
+	// Priority is the priority at the upstream, if the request has its own. 0 is the most
+	// urgent.
 	Priority option.Of[int]
 }
 
-// content returns what identifies r however often it comes.
+// content returns what identifies r across repetitions, for its fingerprint in the
+// quarantine.
 func (r Request) content() quarantine.Content {
 	return quarantine.Content{Method: r.Method, Host: r.Host, URI: r.URI, Model: r.Model, Body: r.Body}
 }
 
-// Response is the whole answer of an upstream.
+// Response is a complete response of an upstream.
 type Response struct {
 	Status int
 	Header http.Header
@@ -51,26 +53,27 @@
 	Proof  string // the upstream's proof that it served the request
 }
 
-// Errors of one attempt. An error that is neither may have run the request.
+// Errors of one attempt. After any other error the request may have run.
 var (
-	// ErrNotRun means that the request did not run, as the upstream had no
-	// room for it or took no connection.
+	// ErrNotRun means that the request did not run because the upstream had no capacity or
+	// refused the connection.
 	ErrNotRun = errors.New("forward: not run")
-	// ErrMisdirected is an ErrNotRun: another upstream has the address.
-	ErrMisdirected = fmt.Errorf("%w: another upstream has the address", ErrNotRun)
-	// ErrUnreachable is an ErrNotRun: the upstream took no connection.
-	ErrUnreachable = fmt.Errorf("%w: upstream takes no connection", ErrNotRun)
+	// ErrMisdirected wraps ErrNotRun. It means that another upstream now listens at the
+	// address.
+	ErrMisdirected = fmt.Errorf("%w: another upstream listens at the address", ErrNotRun)
+	// ErrUnreachable wraps ErrNotRun. It means that the upstream refused the connection.
+	ErrUnreachable = fmt.Errorf("%w: upstream refused the connection", ErrNotRun)
 )
 
-// exploreFrom is from which part of its route's objective on an answer is slow
-// enough for the next request to prefer an upstream of its own: so an instance
-// learns how fast the others are, and that its usual one is slow, and opens few
-// connections while it is not.
-const exploreFrom = 1.0 / 3
+// exploreThreshold is the fraction of the route's latency objective above which a response
+// is slow enough for the next request to use its own affinity instead of the instance's.
+// The instance thereby measures other upstreams and notices that its usual one is slow. As
+// long as responses are fast, it opens few connections.
+const exploreThreshold = 1.0 / 3
 
-// Transport sends one request to one upstream and returns its whole answer,
-// with the load that the upstream told, if any. It also returns answers whose
-// status tells a failure; errors mean that there is no answer of the upstream's.
+// Transport sends one request to one upstream and returns the complete response, with the
+// upstream's load if it reported one. Responses with an error status are returned as
+// responses. An error means that there is no response from the upstream.
 type Transport interface {
 	Send(ctx context.Context, to upstream.Entry, r Request) (Response, *upstream.Load, error)
 }
@@ -78,42 +81,43 @@
 // Config configures a Forwarder.
 type Config struct {
 	Transport Transport
-	Opener    Opener // of streams
+	Opener    Opener // opens streams
 	Registry  *upstream.Registry
-	// Affinity is what requests prefer an upstream by, among those about as
-	// loaded. An instance's own name keeps it to few connections, each of which
-	// is then used again before its upstream closes it.
+	// Affinity selects among upstreams with similar load. If it is the instance's own name,
+	// the instance uses few connections, and each is reused before its upstream closes it
+	// as idle.
 	Affinity string
-	// Guard keeps requests that crash upstreams from them; nil for none.
+	// Guard keeps requests that crash upstreams away from them. It may be nil.
 	Guard *quarantine.Guard
-	// OnAttempt is told of each attempt that has ended; nil for none.
+	// OnAttempt is called after each attempt. It may be nil.
 	OnAttempt func(Attempt)
 }
 
-// Attempt is one try of a request at an upstream.
+// Attempt describes an attempt to run a request at an upstream.
 type Attempt struct {
-	Request  string // its ID
+	Request  string // request ID
 	Content  quarantine.Content
 	Route    string
 	Customer string
 	Upstream string
 	Number   int
-	Status   int // 0 without an answer
+	Status   int // HTTP status; 0 if there was no response
 	Took     time.Duration
 	Err      error
-	// BegunAt is when the upstream began to work on it, as far as is known; zero if
-	// it did not, or an earlier attempt of the request had begun.
+	// BegunAt is when the upstream started to work on the request, as far as is known. It
+	// is zero if the upstream did not, or if an earlier attempt of the request had started.
 	BegunAt time.Time
 }
 
-// Forwarder forwards requests whose answers are sent whole.
+// Forwarder forwards requests to upstreams. Use Do for complete responses and Stream for
+// streams of events.
 type Forwarder struct {
-	cfg      Config
-	returns  RetryScheduler
-	lastTook atomic.Int64 // of the last attempt that was answered, as a time.Duration
+	cfg         Config
+	retries     RetryScheduler
+	lastLatency atomic.Int64 // time.Duration of the last attempt that got a response
 }
 
-// New returns a Forwarder.
+// New returns a Forwarder with configuration cfg.
 func New(cfg Config) *Forwarder {
 	if cfg.OnAttempt == nil {
 		cfg.OnAttempt = func(Attempt) {}
@@ -121,74 +125,75 @@
 	return &Forwarder{cfg: cfg}
 }
 
-// Do forwards r by route rt and returns the upstream's answer, or a
+// Do forwards r according to route rt. It returns the upstream's response, or a
 // *verdict.Error that tells whether r may have run.
 func (f *Forwarder) Do(ctx context.Context, rt routetable.Route, r Request) (Response, error) {
-	begun := time.Now()
-	plan := NewPlan(rt, begun, r.Deadline)
+	start := time.Now()
+	plan := NewPlan(rt, start, r.Deadline)
 	r.Deadline = plan.Deadline
 	ctx, cancel := context.WithDeadline(ctx, plan.Deadline)
 	defer cancel()
 	pool := rt.PickPool(rand.Float64())
 	affinity := f.cfg.Affinity
-	if took := time.Duration(f.lastTook.Load()); rt.LatencyObjective > 0 && float64(took) > exploreFrom*float64(rt.LatencyObjective) {
+	if took := time.Duration(f.lastLatency.Load()); rt.LatencyObjective > 0 && float64(took) > exploreThreshold*float64(rt.LatencyObjective) {
 		affinity = r.ID
 	}
 	for {
 		now := time.Now()
 		if err := f.cfg.Guard.Check(r.content(), now); err != nil {
-			return Response{}, f.end(plan, pool, now, err)
+			return Response{}, f.finalError(plan, pool, now, err)
 		}
 		t, wait := plan.Next(f.cfg.Registry, upstream.Requirements{Pool: pool, Now: now, Affinity: affinity})
 		if t == nil && wait > 0 && clock.Sleep(ctx, wait) {
 			continue
 		}
 		if t == nil {
-			return Response{}, f.end(plan, pool, now, errNoRoom)
+			return Response{}, f.finalError(plan, pool, now, errNoCapacity)
 		}
 		a, err := f.attempt(ctx, plan, t, rt, r)
 		done, err := plan.EndAttempt(t.ID, a.Status, err, time.Now())
 		switch {
 		case done && err == nil:
-			f.returns.Served(pool, time.Now())
+			f.retries.Served(pool, time.Now())
 			return a, nil
 		case done:
-			return Response{}, f.end(plan, pool, time.Now(), err)
+			return Response{}, f.finalError(plan, pool, time.Now(), err)
 		}
 	}
 }
 
-var errNoRoom = errors.New("no upstream can take the request")
+var errNoCapacity = errors.New("no upstream has capacity for the request")
 
-// attempt tries r once at the ticket's upstream.
+// attempt sends r once to the reserved upstream.
 func (f *Forwarder) attempt(ctx context.Context, plan *Plan, t *upstream.Reservation, rt routetable.Route, r Request) (Response, error) {
-	run, err := f.cfg.Guard.Begin(ctx, r.content(), t.Entry)
+	guarded, err := f.cfg.Guard.Begin(ctx, r.content(), t.Entry)
 	if err != nil {
 		t.Release()
 		return Response{}, err
 	}
-	begun := time.Now()
-	actx, cancel := context.WithDeadline(ctx, plan.AttemptDeadline(begun))
+	start := time.Now()
+	actx, cancel := context.WithDeadline(ctx, plan.AttemptDeadline(start))
 	defer cancel()
 	a, load, err := f.cfg.Transport.Send(actx, t.Entry, r)
-	rep := report(ctx, actx, err, load)
+	rep := resultOf(ctx, actx, err, load)
 	if err == nil {
-		rep.TimePerUnit = rep.At.Sub(begun)
-		f.lastTook.Store(int64(rep.TimePerUnit))
+		rep.TimePerUnit = rep.At.Sub(start)
+		f.lastLatency.Store(int64(rep.TimePerUnit))
 		rep.Failed = a.Status >= http.StatusInternalServerError
 	}
 	t.Done(rep)
-	seen := Attempt{Request: r.ID, Content: r.content(), Route: rt.Name, Customer: r.Customer, Upstream: t.ID, Number: len(plan.Tried()) + 1, Status: a.Status, Took: rep.At.Sub(begun), Err: err}
+	seen := Attempt{Request: r.ID, Content: r.content(), Route: rt.Name, Customer: r.Customer, Upstream: t.ID, Number: len(plan.Tried()) + 1, Status: a.Status, Took: rep.At.Sub(start), Err: err}
 	if !errors.Is(err, ErrNotRun) && !plan.MayHaveRun() {
-		seen.BegunAt = begun
+		seen.BegunAt = start
 	}
 	f.cfg.OnAttempt(seen)
-	run.Done(ctx, outcome(actx, a.Status, err))
+	guarded.Done(ctx, outcomeOf(actx, a.Status, err))
 	return a, err
 }
 
-// outcome returns how an attempt ended whose context was ctx.
-func outcome(ctx context.Context, status int, err error) quarantine.Outcome {
+// outcomeOf classifies the end of an attempt from the attempt's context ctx, the response
+// status and the error.
+func outcomeOf(ctx context.Context, status int, err error) quarantine.Outcome {
 	switch {
 	case err == nil && status < http.StatusInternalServerError:
 		return quarantine.Answered
@@ -204,23 +209,23 @@
 	return quarantine.ConnectionLost
 }
 
-// report returns what an attempt's error says of its upstream, where ctx is the
-// request's and actx the attempt's.
-func report(ctx, actx context.Context, err error, load *upstream.Load) upstream.AttemptResult {
+// resultOf returns what an attempt's error tells about its upstream. ctx is the request's
+// context and actx the attempt's.
+func resultOf(ctx, actx context.Context, err error, load *upstream.Load) upstream.AttemptResult {
 	rep := upstream.AttemptResult{At: time.Now(), Load: load}
 	switch {
 	case err == nil:
 	case RecordRefusal(&rep, err, BusyBackoff):
 	case ctx.Err() != nil && actx.Err() != context.DeadlineExceeded:
-		// The caller left: that says nothing of the upstream.
+		// The caller cancelled the request, which tells nothing about the upstream.
 	default:
 		rep.Failed = true
 	}
 	return rep
 }
 
-// RecordRefusal reports whether err tells that the upstream did not take an attempt,
-// and writes to rep why. An upstream that had no room is left alone for pause.
+// RecordRefusal reports whether err means that the upstream refused an attempt, and records
+// the reason in rep. An upstream without capacity is marked busy for the duration pause.
 func RecordRefusal(rep *upstream.AttemptResult, err error, pause time.Duration) bool {
 	switch {
 	case errors.Is(err, ErrMisdirected):
@@ -235,8 +240,9 @@
 	return true
 }
 
-// end returns the error of a request that gets no answer of an upstream of pool.
-func (f *Forwarder) end(p *Plan, pool string, now time.Time, cause error) error {
+// finalError returns the error of a request that gets no response from pool because of
+// cause. A request that did not run is given a time to retry.
+func (f *Forwarder) finalError(p *Plan, pool string, now time.Time, cause error) error {
 	switch {
 	case p.ran > 0 && !now.Before(p.Deadline):
 		return verdict.New(verdict.MayHaveRun, http.StatusGatewayTimeout, cause)
@@ -247,5 +253,5 @@
 	if errors.As(cause, &refused) {
 		return verdict.Refuse(http.StatusServiceUnavailable, refused.Until, cause)
 	}
-	return verdict.Refuse(http.StatusServiceUnavailable, f.returns.Reject(pool, now, p.Deadline, rand.Float64()), cause)
+	return verdict.Refuse(http.StatusServiceUnavailable, f.retries.Reject(pool, now, p.Deadline, rand.Float64()), cause)
 }
--- a/pkg/forward/plan.go
+++ b/pkg/forward/plan.go
@@ -12,129 +12,129 @@
 )
 
 const (
-	// defaultWait bounds a request for which neither its caller nor its route
-	// sets a time.
-	defaultWait = 10 * time.Second
-	// answerMargin is how long before the end of the caller's time the answer
-	// leaves, so that it arrives in time; at most a quarter of that time.
-	answerMargin = 20 * time.Millisecond
-	// BusyBackoff is how long an upstream that had no room is left alone: a few
-	// of its requests end in that time.
+	// defaultTimeout is the timeout of a request for which neither the caller nor the route
+	// sets one.
+	defaultTimeout = 10 * time.Second
+	// deadlineMargin is how long before the caller's deadline the response is sent, so that
+	// it arrives in time. It is at most a quarter of the caller's timeout.
+	deadlineMargin = 20 * time.Millisecond
+	// BusyBackoff is how long an upstream without capacity is not used. Within that time a
+	// few of its requests end.
 	BusyBackoff = 60 * time.Millisecond
-	// waitStep is how often a request that waits for room looks for it.
-	waitStep = 15 * time.Millisecond
-	// returnAfter is when a caller may come back at the soonest that no upstream
-	// could serve: upstreams that had no room have some then, and entries that
-	// were missing are read again.
-	returnAfter = 300 * time.Millisecond
-	// patience is how many objectives an attempt may take before a request
-	// that may be repeated is tried elsewhere; at its objective an answer is
-	// late but an upstream that is only busy still gives it.
-	patience = 3
-	// minPatience bounds the patience for routes with short objectives or none.
-	minPatience = 300 * time.Millisecond
-	// extraRefusals is how many upstreams beyond the route's attempts may
-	// say that they did not run a request: such an attempt cost them nothing.
-	extraRefusals = 3
+	// pollInterval is the interval at which a waiting request looks for a free upstream.
+	pollInterval = 15 * time.Millisecond
+	// minRetryDelay is the minimum Retry-After delay of a request that no upstream could
+	// run. By then busy upstreams have capacity again, and missing upstream entries have
+	// been read again.
+	minRetryDelay = 300 * time.Millisecond
+	// attemptObjectives is the timeout of an attempt that may be retried elsewhere, in
+	// latency objectives of the route. After one objective the response is late, but an
+	// upstream that is only busy still sends it.
+	attemptObjectives = 3
+	// minAttemptTimeout is the minimum timeout of an attempt, for routes with a short
+	// latency objective or none.
+	minAttemptTimeout = 300 * time.Millisecond
+	// maxExtraRefusals is how many upstreams beyond the route's MaxAttempts may refuse a
+	// request. Refused attempts cost the upstreams nothing.
+	maxExtraRefusals = 3
 )
 
-// Plan decides how often and for how long a request is tried. It answers an
-// upstream that has gone dark, whose requests would otherwise wait for their
-// deadline, without sending a request to more upstreams than its route allows.
+// Plan decides how often and for how long a request is attempted. It moves requests away
+// from an unresponsive upstream, where they would otherwise wait until their deadline,
+// without sending a request to more upstreams than its route allows.
 type Plan struct {
-	Deadline time.Time // the caller has its answer by then
-	begun    time.Time
-	route    routetable.Route
-	tried    []string // upstreams, in order
-	ran      int      // attempts that may have run
-	refused  int      // attempts that did not run
+	Deadline  time.Time // when the response must be sent to the caller
+	startedAt time.Time
+	route     routetable.Route
+	tried     []string // IDs of the upstreams tried, in order
+	ran       int      // number of attempts that may have run
+	refused   int      // number of attempts that did not run
 }
 
-// NewPlan returns the plan of a request of route rt that came at now; deadline
-// is its caller's, or zero.
+// NewPlan returns the plan of a request of route rt received at now. deadline is the
+// caller's deadline, or zero.
 func NewPlan(rt routetable.Route, now, deadline time.Time) *Plan {
-	by := now.Add(defaultWait)
+	by := now.Add(defaultTimeout)
 	if rt.Timeout > 0 {
 		by = now.Add(rt.Timeout)
 	}
 	if !deadline.IsZero() && deadline.Before(by) {
 		by = deadline
 	}
-	margin := min(answerMargin, max(by.Sub(now), 0)/4)
-	return &Plan{Deadline: by.Add(-margin), begun: now, route: rt}
+	margin := min(deadlineMargin, max(by.Sub(now), 0)/4)
+	return &Plan{Deadline: by.Add(-margin), startedAt: now, route: rt}
 }
 
-// MayWait reports whether a request for which no upstream has room at now waits
-// a little rather than be turned away: those that refused others are left alone
-// for BusyPause only. None waits longer than a quarter of its objective, as its
+// MayWait reports whether a request for which no upstream has capacity at now waits instead
+// of being rejected. Busy upstreams are only avoided for BusyBackoff, so capacity may soon
+// be found. No request waits longer than a quarter of its latency objective, because the
 // caller could be served elsewhere.
 func (p *Plan) MayWait(now time.Time) bool {
-	limit := BusyBackoff + waitStep
+	limit := BusyBackoff + pollInterval
 	if p.route.LatencyObjective > 0 {
 		limit = min(limit, p.route.LatencyObjective/4)
 	}
-	after := now.Add(waitStep)
-	return after.Sub(p.begun) <= limit && after.Before(p.Deadline)
+	after := now.Add(pollInterval)
+	return after.Sub(p.startedAt) <= limit && after.Before(p.Deadline)
 }
 
-// Next returns a ticket of the upstream that the request is sent to next, or how
-// long it waits before it asks again; neither if it is to be turned away.
+// Next reserves the upstream for the next attempt, or returns how long to wait before
+// calling Next again. If it returns nil and 0, the request must be rejected.
 func (p *Plan) Next(r *upstream.Registry, w upstream.Requirements) (*upstream.Reservation, time.Duration) {
 	w.Exclude = p.tried
 	if t, ok := r.Acquire(w); ok {
 		return t, 0
 	}
 	if len(p.tried) > 0 && p.MayRetry() {
-		// Each upstream has been tried: one that had no room may have some now.
+		// Every upstream has been tried. One that was busy may have capacity now.
 		if t, ok := r.Acquire(upstream.Requirements{Pool: w.Pool, Now: w.Now}); ok {
 			return t, 0
 		}
 	}
 	if p.MayWait(w.Now) {
-		return nil, waitStep
+		return nil, pollInterval
 	}
 	return nil, 0
 }
 
-// Tried returns the upstreams that the request was sent to.
+// Tried returns the IDs of the upstreams to which the request was sent.
 func (p *Plan) Tried() []string { return p.tried }
 
-// MayHaveRun reports whether an attempt that has ended may have run.
+// MayHaveRun reports whether an attempt that has ended may have run the request.
 func (p *Plan) MayHaveRun() bool { return p.ran > 0 }
 
-// MayRetry reports whether the request may be sent once more, now that
-// attempts have ended as they did.
+// MayRetry reports whether the request may be sent again after the attempts so far.
 func (p *Plan) MayRetry() bool {
 	if p.ran > 0 && p.route.Kind != routetable.Idempotent {
 		return false
 	}
-	return p.ran < p.route.MaxAttempts && p.refused < p.route.MaxAttempts+extraRefusals
+	return p.ran < p.route.MaxAttempts && p.refused < p.route.MaxAttempts+maxExtraRefusals
 }
 
-// AttemptDeadline returns when an attempt begun at now is given up. The last one
-// has all the time that is left.
+// AttemptDeadline returns the deadline of an attempt started at now. The last attempt may
+// use all of the remaining time.
 func (p *Plan) AttemptDeadline(now time.Time) time.Time {
 	if p.route.Kind != routetable.Idempotent || p.ran+1 >= p.route.MaxAttempts {
 		return p.Deadline
 	}
 	left := p.Deadline.Sub(now)
-	limit := max(patience*p.route.LatencyObjective, minPatience)
+	limit := max(attemptObjectives*p.route.LatencyObjective, minAttemptTimeout)
 	return now.Add(min(limit, left/2))
 }
 
-// EndAttempt tells how an attempt ended, and reports whether the request is done:
-// with the answer of that attempt if the error is nil.
+// EndAttempt records how an attempt ended and reports whether the request is finished. If
+// it is and the returned error is nil, the attempt's response is the result.
 func (p *Plan) EndAttempt(upstreamID string, status int, err error, now time.Time) (bool, error) {
 	if errors.Is(err, quarantine.ErrQuarantined) {
-		return true, err // it was not sent
+		return true, err // the request was not sent
 	}
 	if !slices.Contains(p.tried, upstreamID) {
 		p.tried = append(p.tried, upstreamID)
 	}
 	if err == nil {
 		p.ran++
-		again := status >= http.StatusInternalServerError && p.MayRetry() && now.Before(p.Deadline)
-		return !again, nil
+		retry := status >= http.StatusInternalServerError && p.MayRetry() && now.Before(p.Deadline)
+		return !retry, nil
 	}
 	if errors.Is(err, ErrNotRun) {
 		p.refused++
--- a/pkg/forward/plan_test.go
+++ b/pkg/forward/plan_test.go
@@ -16,9 +16,9 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m, 500) }
 
-// Whatever attempts give, a non-idempotent request may run once at most, no
-// request is sent to more upstreams that may run it than its route allows, no
-// attempt outlives the caller's time, and the request ends.
+// Whatever the results of its attempts, a non-idempotent request may run at most once, no
+// request may run at more upstreams than its route allows, no attempt's deadline is later
+// than the caller's, and the request ends.
 func TestPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_800_000_000, 0)
@@ -28,16 +28,16 @@
 		deadline := now.Add(time.Duration(rapid.IntRange(100, 4000).Draw(t, "deadline_ms")) * time.Millisecond)
 		p := forward.NewPlan(rt, now, deadline)
 		if p.Deadline.After(deadline) {
-			t.Fatal("answers after the deadline")
+			t.Fatal("plan's deadline is after the caller's deadline")
 		}
 		mayHaveRun := 0
 		for i := 0; ; i++ {
 			if i > 20 {
-				t.Fatal("does not end")
+				t.Fatal("request not finished after 20 attempts")
 			}
 			until := p.AttemptDeadline(now)
 			if until.After(p.Deadline) || !until.After(now) && now.Before(p.Deadline) {
-				t.Fatalf("attempt until %v at %v, answer by %v", until, now, p.Deadline)
+				t.Fatalf("attempt at %[2]v has deadline %[1]v; want after the start and at most %[3]v", until, now, p.Deadline)
 			}
 			err := rapid.SampledFrom([]error{nil, forward.ErrNotRun, forward.ErrMisdirected, forward.ErrUnreachable, errors.New("reset")}).Draw(t, "err")
 			status := rapid.SampledFrom([]int{http.StatusOK, http.StatusInternalServerError, http.StatusNotFound}).Draw(t, "status")
@@ -50,29 +50,29 @@
 				break
 			}
 			if err == nil && status < 500 {
-				t.Fatal("an answer is not the end")
+				t.Fatal("EndAttempt after a response below 500: got done = false, want true")
 			}
 		}
 		if mayHaveRun > rt.MaxAttempts || rt.Kind != routetable.Idempotent && mayHaveRun > 1 {
-			t.Fatalf("may have run %d times, route allows %d", mayHaveRun, rt.MaxAttempts)
+			t.Fatalf("request may have run %d times; the route allows %d attempts", mayHaveRun, rt.MaxAttempts)
 		}
 	})
 }
 
-// Replays an upstream that has gone dark: an idempotent request leaves it while
-// there is time for another, and the last attempt has all the time that is left.
-func TestDarkUpstreamIsLeft(t *testing.T) {
+// An upstream accepts connections and stops responding. An idempotent request is retried
+// elsewhere while there is time, and the last attempt gets all of the remaining time.
+func TestUnresponsiveUpstreamIsAbandoned(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	rt := routetable.Route{Kind: routetable.Idempotent, MaxAttempts: 2, LatencyObjective: 150 * time.Millisecond}
 	p := forward.NewPlan(rt, now, now.Add(2*time.Second))
 	if d := p.AttemptDeadline(now).Sub(now); d != 450*time.Millisecond {
-		t.Fatalf("the first attempt has %v, want three objectives", d)
+		t.Fatalf("timeout of the first attempt: got %v, want 450ms (three objectives)", d)
 	}
 	now = now.Add(450 * time.Millisecond)
 	if done, _ := p.EndAttempt("dark", 0, errors.New("no answer"), now); done {
-		t.Fatal("not tried again")
+		t.Fatal("EndAttempt after a timeout: got done = true, want a retry")
 	}
 	if p.AttemptDeadline(now) != p.Deadline {
-		t.Fatal("the last attempt has less than the time left")
+		t.Fatal("deadline of the last attempt is not the plan's deadline")
 	}
 }
--- a/pkg/forward/retryscheduler.go
+++ b/pkg/forward/retryscheduler.go
@@ -7,75 +7,72 @@
 )
 
 const (
-	// returnWindow is over how long answers and rejections are counted: long
-	// enough for some tens of requests at an instance, short enough to follow a
-	// burst.
-	returnWindow = time.Second
-	// returnPrior is how many requests a pool is taken to have served beside those
-	// counted: an instance that gets a few requests a second knows little from one
-	// that found no room.
-	returnPrior = 3
-	// returnShare is the part of the time that a caller has left of which it waits
-	// at the most; the rest is for the attempt that follows.
-	returnShare = 1.0 / 3
+	// countWindow is the time constant of the counts of served and rejected requests. It
+	// spans some tens of requests at an instance, and is short enough to follow a burst.
+	countWindow = time.Second
+	// servedPrior is added to the number of served requests. An instance that gets a few
+	// requests a second can infer little from one rejection.
+	servedPrior = 3
+	// maxDelayShare is the maximum retry delay as a fraction of the time until the caller's
+	// deadline. The rest of that time is for the retry.
+	maxDelayShare = 1.0 / 3
 )
 
-// RetryScheduler decides when callers that were turned away come back. It answers a
-// burst that leaves a pool more requests than it has room for: callers that all
-// return after the same pause are a burst again, so they are spread over the time
-// in which the pool serves as many as were turned away. Its zero value is ready
-// for use; it is safe for concurrent use.
+// RetryScheduler decides when rejected callers retry. After a burst that exceeds a pool's
+// capacity, callers that all retried after the same delay would form another burst. Their
+// retries are therefore spread over the time in which the pool serves as many requests as
+// were rejected. The zero value is ready for use. RetryScheduler is safe for concurrent
+// use.
 type RetryScheduler struct {
 	mu    sync.Mutex
-	pools map[string]*flow
+	pools map[string]*poolCounts
 }
 
-// flow counts a pool's requests, older ones less.
-type flow struct {
-	at               time.Time // of the last count
+// poolCounts holds exponentially decaying counts of a pool's requests.
+type poolCounts struct {
+	at               time.Time // when the counts were last updated
 	served, rejected float64
 }
 
-// fade lets the counts fade until now.
-func (f *flow) fade(now time.Time) {
+// decay applies the decay until now.
+func (f *poolCounts) decay(now time.Time) {
 	if age := now.Sub(f.at); age > 0 {
-		keep := math.Exp(-float64(age) / float64(returnWindow))
+		keep := math.Exp(-float64(age) / float64(countWindow))
 		f.served, f.rejected, f.at = f.served*keep, f.rejected*keep, now
 	}
 }
 
-// flow returns the counts of a pool as of now. Its caller holds the lock.
-func (r *RetryScheduler) flow(pool string, now time.Time) *flow {
+// counts returns the counts of a pool at now. r.mu must be held.
+func (r *RetryScheduler) counts(pool string, now time.Time) *poolCounts {
 	if r.pools == nil {
-		r.pools = map[string]*flow{}
+		r.pools = map[string]*poolCounts{}
 	}
 	f := r.pools[pool]
 	if f == nil {
-		f = &flow{at: now}
+		f = &poolCounts{at: now}
 		r.pools[pool] = f
 	}
-	f.fade(now)
+	f.decay(now)
 	return f
 }
 
-// Served counts a request that the pool has served.
+// Served counts a request that the pool served.
 func (r *RetryScheduler) Served(pool string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.flow(pool, now).served++
+	r.counts(pool, now).served++
 }
 
-// Reject counts a request that the pool had no room for, and returns when its
-// caller, who waits until deadline, may come back. draw is drawn evenly from
-// [0, 1).
+// Reject counts a request that the pool had no capacity for, and returns when its caller
+// may retry. deadline is the caller's deadline. draw is a uniform random number in [0, 1).
 func (r *RetryScheduler) Reject(pool string, now, deadline time.Time, draw float64) time.Time {
 	r.mu.Lock()
-	f := r.flow(pool, now)
+	f := r.counts(pool, now)
 	f.rejected++
 	served, rejected := f.served, f.rejected
 	r.mu.Unlock()
-	most := time.Duration(returnShare * float64(max(deadline.Sub(now), 0)))
-	first := min(returnAfter, most)
-	spread := min(most-first, time.Duration(rejected/(served+returnPrior)*float64(returnWindow)))
+	most := time.Duration(maxDelayShare * float64(max(deadline.Sub(now), 0)))
+	first := min(minRetryDelay, most)
+	spread := min(most-first, time.Duration(rejected/(served+servedPrior)*float64(countWindow)))
 	return now.Add(first + time.Duration(draw*float64(spread)))
 }
--- a/pkg/forward/retryscheduler_test.go
+++ b/pkg/forward/retryscheduler_test.go
@@ -9,9 +9,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/forward"
 )
 
-// Whatever was served and rejected, a caller comes back within a third of its
-// time, and not sooner than after the least pause, unless that is longer.
-func TestReturnsLeaveTimeForAnAttempt(t *testing.T) {
+// The retry delay is at most a third of the time until the caller's deadline, and at least
+// minRetryDelay unless that is longer than the third.
+func TestRetryDelayLeavesTimeForAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r forward.RetryScheduler
 		now := time.Unix(1_800_000_000, 0)
@@ -25,16 +25,16 @@
 			at := r.Reject("p", now, now.Add(left), rapid.Float64Range(0, 0.999).Draw(t, "draw"))
 			third := max(left, 0) / 3
 			if d := at.Sub(now); d > third || d < min(third, 300*time.Millisecond) {
-				t.Fatalf("comes back after %v with %v left", d, left)
+				t.Fatalf("retry delay %v with %v until the deadline; want at most a third of it and at least 300ms or that third", d, left)
 			}
 		}
 	})
 }
 
-// The more requests a pool turns away for each that it serves, the longer its
-// callers' returns are spread; one rejection among many answers spreads little,
-// and another pool's rejections not at all.
-func TestReturnsSpreadWithTheBacklog(t *testing.T) {
+// Retries are spread over a longer time the more requests a pool rejects for each that it
+// serves. One rejection among many served requests has little effect, and rejections by
+// another pool have none.
+func TestRetriesSpreadWithRejections(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	latest := func(served, rejected int, other string) time.Duration {
 		var r forward.RetryScheduler
@@ -48,9 +48,9 @@
 	}
 	few, many, elsewhere := latest(50, 1, "p"), latest(50, 300, "p"), latest(50, 300, "q")
 	if few > 400*time.Millisecond || elsewhere != latest(50, 0, "p") {
-		t.Errorf("returns spread to %v after one rejection, %v after those of another pool", few, elsewhere)
+		t.Errorf("latest retry: %v after one rejection, want at most 400ms; %v after rejections by another pool, want no effect", few, elsewhere)
 	}
 	if many < 5*time.Second {
-		t.Errorf("returns spread to %v when six are rejected for each that is served", many)
+		t.Errorf("latest retry: %v with six rejections for each request served, want at least 5s", many)
 	}
 }
