--- a/pkg/delivery/delivery_test.go
+++ b/pkg/delivery/delivery_test.go
@@ -27,8 +27,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// bench is a table, a trainer and a Sender between them.
-type bench struct {
+// fixture is a platform, a trainer and a Sender.
+type fixture struct {
 	table   *platformtest.Server
 	trainer *trainertest.Server
 	entry   catalogue.Entry
@@ -36,9 +36,9 @@
 	sends   errgroup.Group
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	b := &bench{table: platformtest.New(), trainer: &trainertest.Server{}}
+	b := &fixture{table: platformtest.New(), trainer: &trainertest.Server{}}
 	table, tr := httptest.NewServer(b.table.Handler()), httptest.NewServer(b.trainer.Handler())
 	t.Cleanup(table.Close)
 	t.Cleanup(tr.Close)
@@ -57,58 +57,58 @@
 	return trainer.Sample{ID: id, Customer: "minho", Entry: "drafts", WeightVersions: versions, Tokens: 1, Text: "t"}
 }
 
-// A sample reaches its trainer once and leaves no record, though the trainer's
-// acknowledgement and the platform's answers are lost on the way.
-func TestSampleIsLearnedOnce(t *testing.T) {
-	b := newBench(t)
+// The trainer's acknowledgement and the platform's response to the record are lost. The
+// sample still reaches the trainer, is accepted once and leaves no record.
+func TestSampleIsDeliveredOnce(t *testing.T) {
+	b := newFixture(t)
 	b.trainer.DropAcks(1)
 	b.table.SetFaults(platformtest.Faults{LoseReplies: 1})
 	if id := b.sender.RecordAndSend(context.Background(), b.entry, sample("s1", 1)); id != "s1" {
-		t.Fatalf("sample %q", id)
+		t.Fatalf("got sample ID %q, want s1", id)
 	}
 	if err := b.sends.Wait(); err != nil {
 		t.Fatal(err)
 	}
 	if got := b.trainer.Received(); len(got) != 1 || len(b.table.Rows("delivery/")) != 0 {
-		t.Fatalf("the trainer holds %+v, records left: %v", got, b.table.Rows("delivery/"))
+		t.Fatalf("trainer holds %+v, records left %v; want all samples and no records", got, b.table.Rows("delivery/"))
 	}
 }
 
-// Of two requests that made the same sample one records it; the other is told,
-// and sends nothing.
-func TestOneRecordForOneSample(t *testing.T) {
-	b := newBench(t)
+// If two requests produce the same sample, the first one records it and the second one gets
+// ErrAlreadyRecorded. Recording it again by the first succeeds.
+func TestOneRecordPerSample(t *testing.T) {
+	b := newFixture(t)
 	ctx := context.Background()
 	first, second := b.sender.NewRecord(b.entry, "s1", sample("s1", 1)), b.sender.NewRecord(b.entry, "s1", sample("s1", 1))
 	if _, err := b.sender.CommitRecord(ctx, b.entry, first); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := b.sender.CommitRecord(ctx, b.entry, second); !errors.Is(err, delivery.ErrAlreadyRecorded) {
-		t.Fatalf("error %v for the second", err)
+		t.Fatalf("second request: got error %v, want ErrAlreadyRecorded", err)
 	}
 	if _, err := b.sender.CommitRecord(ctx, b.entry, first); err != nil {
-		t.Fatalf("error %v for the first one again", err)
+		t.Fatalf("first request again: got error %v", err)
 	}
 }
 
-// A sample of weights that have grown too old by the time of its record is
-// refused, whatever this instance knows of the version in force.
-func TestStaleSampleIsRefused(t *testing.T) {
-	b := newBench(t)
+// A sample that is too old when it is recorded is rejected, even if this instance does not
+// know the target version yet.
+func TestStaleSampleIsRejected(t *testing.T) {
+	b := newFixture(t)
 	b.table.Put(weights.TargetPrefix+"pool", weights.Target{Pool: "pool", Version: 5})
 	ctx := context.Background()
 	if _, err := b.sender.CommitRecord(ctx, b.entry, b.sender.NewRecord(b.entry, "old", sample("old", 4, 3))); !errors.Is(err, delivery.ErrTooStale) {
-		t.Fatalf("error %v for a sample two versions behind", err)
+		t.Fatalf("sample two versions behind: got error %v, want ErrTooStale", err)
 	}
 	if _, err := b.sender.CommitRecord(ctx, b.entry, b.sender.NewRecord(b.entry, "new", sample("new", 4, 5))); err != nil {
-		t.Fatalf("error %v for a sample one version behind", err)
+		t.Fatalf("sample one version behind: got error %v", err)
 	}
 }
 
-// A sweep sends the records that an instance has left behind, and those only
-// that are old enough to have been left.
+// Sweep sends the records that an instance left behind, but not records that are too recent
+// to have been left behind.
 func TestSweep(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	ctx := context.Background()
 	for i := range 3 {
 		id := fmt.Sprint("s", i)
@@ -117,12 +117,12 @@
 		}
 	}
 	if sent, err := b.sender.Sweep(ctx, time.Now().Add(-time.Minute)); sent != 0 || err != nil {
-		t.Fatalf("sent %d young records, %v", sent, err)
+		t.Fatalf("sweep of recent records: got %d sent, error %v; want 0 sent", sent, err)
 	}
 	if sent, err := b.sender.Sweep(ctx, time.Now().Add(time.Minute)); sent != 3 || err != nil {
-		t.Fatalf("sent %d records, %v", sent, err)
+		t.Fatalf("sweep of old records: got %d sent, error %v; want 3 sent", sent, err)
 	}
 	if got := b.trainer.Received(); len(got) != 3 || len(b.table.Rows("delivery/")) != 0 {
-		t.Fatalf("the trainer holds %+v, records left: %v", got, b.table.Rows("delivery/"))
+		t.Fatalf("trainer holds %+v, records left %v; want all samples and no records", got, b.table.Rows("delivery/"))
 	}
 }
--- a/pkg/delivery/record.go
+++ b/pkg/delivery/record.go
@@ -9,30 +9,29 @@
 	"github.com/zinnialadder/zinnialadder/pkg/trainer"
 )
 
-// prefix goes before the keys of records.
+// prefix is the key prefix of records.
 const prefix = "delivery/"
 
-// Key returns the key of the record of the samples named id.
+// Key returns the key of the record with ID id.
 func Key(id string) string { return prefix + id }
 
-// Record is the record of samples awaiting their trainer's
-// acknowledgement, in the platform's table. It is created before the first
-// send and deleted once the trainer holds the samples, so that the rows
-// present are exactly the samples to deliver again after a failure. The
-// trainer keys samples by ID, so a second send is never learned twice.
+// Record is a row of the platform's table that holds samples not yet acknowledged by their
+// trainer. It is created before the first send and deleted after the acknowledgement, so
+// that the existing rows are exactly the samples to send again after a failure. The trainer
+// identifies samples by ID and does not train twice on a sample that is sent again.
 type Record struct {
 	Key     string           `json:"-"`
 	Samples []trainer.Sample `json:"samples"`
 	Trainer string           `json:"trainer"`
-	Entry   string           `json:"entry"` // the catalogue entry the samples are for
-	// MaxVersionLag is the entry's bound when the record was made.
+	Entry   string           `json:"entry"` // name of the samples' catalogue entry
+	// MaxVersionLag is the entry's limit at the time the record was created.
 	MaxVersionLag uint64    `json:"max_version_lag"`
-	Holder        string    `json:"holder"` // the instance and request that created it
+	Holder        string    `json:"holder"` // ID of the attempt that created the record
 	CreatedAt     time.Time `json:"created_at"`
 }
 
-// oldest returns the oldest weight version that produced any of d's
-// samples, or 0 if a sample names none.
+// oldest returns the oldest weight version that produced any of d's samples, or 0 if a
+// sample has no version.
 func (d Record) oldest() uint64 {
 	oldest := uint64(math.MaxUint64)
 	for _, s := range d.Samples {
@@ -41,7 +40,7 @@
 	return oldest
 }
 
-// wrote reports whether row was written by the request that made d.
+// wrote reports whether row was written by the attempt that created d.
 func (d Record) wrote(row platform.Row) bool {
 	var other Record
 	return json.Unmarshal(row.Value, &other) == nil && other.Holder == d.Holder
--- a/pkg/delivery/sender.go
+++ b/pkg/delivery/sender.go
@@ -1,7 +1,7 @@
-// Package delivery brings samples to their trainers, each learned once: a record
-// in the platform's table is made before the first send and deleted after the
-// trainer's acknowledgement, so that whatever becomes of an instance another one
-// finds what is left to send.
+// Package delivery delivers samples to their trainers. It writes a record to the platform's
+// table before the first send and deletes it after the trainer's acknowledgement. If an
+// instance fails, another one finds in the records what is left to send. A sample may be
+// sent more than once, but trainers identify samples by ID.
 package delivery
 
 import (
@@ -27,57 +27,56 @@
 	Platform     *platform.Client
 	Clock        clock.Clock
 	Logger       *log.Logger
-	HTTP         *http.Client         // to trainers
-	View         func() *control.View // the control state in force
-	NewAttemptID func() string        // names one attempt of this process to make a record
-	Go           func(func() error)   // runs sends that nobody waits for
-	SendContext  context.Context      // sends end with it; another instance sends what they leave
+	HTTP         *http.Client         // client for requests to trainers
+	View         func() *control.View // returns the current control state
+	NewAttemptID func() string        // returns a unique ID for an attempt to create a record
+	Go           func(func() error)   // runs a send in the background
+	SendContext  context.Context      // sends are cancelled with it; another instance sends the rest
 	Counters     Counters
 }
 
-// Counters count samples.
+// Counters holds the counters of samples.
 type Counters struct {
-	Delivered   metrics.Counter // that trainers have learned
-	Stale       metrics.Counter // refused as too old
-	Lost        metrics.Counter // that could not be recorded
-	Retries     metrics.Counter // sends that were repeated
-	Redelivered metrics.Counter // sent by a sweep
+	Delivered   metrics.Counter // accepted by trainers
+	Stale       metrics.Counter // rejected because they are too old
+	Lost        metrics.Counter // not recorded and therefore not delivered
+	Retries     metrics.Counter // repeated sends
+	Redelivered metrics.Counter // delivered by Sweep
 }
 
-// Sender records samples and sends them. It is safe for concurrent use.
+// Sender records and sends samples. It is safe for concurrent use.
 type Sender struct{ cfg Config }
 
-// NewSender returns a Sender.
+// NewSender returns a Sender with configuration cfg.
 func NewSender(cfg Config) *Sender { return &Sender{cfg: cfg} }
 
-// NewRecord returns the record of samples, under a key made from id.
+// NewRecord returns a record of samples with a key made from id. It does not write the
+// record.
 func (s *Sender) NewRecord(e catalogue.Entry, id string, samples ...trainer.Sample) Record {
 	return Record{Key: Key(id), Samples: samples, Trainer: e.Trainer, Entry: e.Name, MaxVersionLag: e.MaxVersionLag,
 		Holder: s.cfg.NewAttemptID(), CreatedAt: s.cfg.Clock.Now()}
 }
 
-// deliveryTries bounds the sends of one sample on the request path; a
-// sample still unacknowledged after them stays recorded for redelivery.
-const deliveryTries = 3
+// maxSends is the maximum number of sends of a record by Deliver. If the last one fails,
+// the record is left to Sweep.
+const maxSends = 3
 
-// deliveryPause is the pause before the second send; the third waits twice
-// as long.
-const deliveryPause = 50 * time.Millisecond
+// sendBackoff is the backoff before the second send. The third waits twice as long.
+const sendBackoff = 50 * time.Millisecond
 
-// SendTimeout bounds the sends of one sample after its request answered;
-// a sample still unsent then is left to the sweeper.
+// SendTimeout is the timeout of the sends of a sample after the response to its request.
+// Samples not sent by then are left to Sweep.
 const SendTimeout = 30 * time.Second
 
-// ErrAlreadyRecorded means that the record of the same samples exists already,
-// made by another request; whoever made it sends them.
-var ErrAlreadyRecorded = errors.New("delivery: samples recorded by another request")
+// ErrAlreadyRecorded means that another request has recorded the same samples. That request
+// sends them.
+var ErrAlreadyRecorded = errors.New("delivery: samples already recorded by another request")
 
 // ErrTooStale means that a sample is older than its catalogue entry allows.
-var ErrTooStale = errors.New("delivery: sample is of a weight version that is too old")
+var ErrTooStale = errors.New("delivery: weight version of the sample is too old")
 
-// RecordAndSend records and sends one finished sample, and returns its ID, or ""
-// if it was refused as too stale. The caller does not wait for the trainer,
-// nor for a platform that does not answer.
+// RecordAndSend records and sends one sample, and returns its ID, or "" if the sample is
+// too old. It waits neither for the trainer nor for a platform that is unavailable.
 func (s *Sender) RecordAndSend(ctx context.Context, e catalogue.Entry, smp trainer.Sample) string {
 	d := s.NewRecord(e, smp.ID, smp)
 	switch _, err := s.CommitRecord(ctx, e, d); {
@@ -93,7 +92,8 @@
 	return smp.ID
 }
 
-// RunAsync runs send on the group, bounded by SendTimeout.
+// RunAsync runs send in the background with SendTimeout. It logs an error of send with d's
+// key.
 func (s *Sender) RunAsync(ctx context.Context, d Record, send func(context.Context) error) {
 	s.cfg.Go(func() error {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), SendTimeout)
@@ -105,14 +105,14 @@
 	})
 }
 
-// CommitRecord writes d in one transaction that commits only if the pool's weight
-// target is still the one the samples were checked against, so that no
-// sample is recorded that is older than its bound at that moment. It
-// returns ErrTooStale for such a sample and ErrRecorded if another request
-// made the record; with any other error the outcome is unknown, and CommitRecord
-// may be called again. Further ops commit together with the record. The
-// version returned is that of the rows written, or 0 if an earlier call,
-// whose reply was lost, wrote them.
+// CommitRecord writes d and commits ops in one transaction. The transaction succeeds only
+// if the pool's target weight version is still the one that the samples were checked
+// against, so that a recorded sample is within its limit at that moment.
+//
+// It returns ErrTooStale for samples beyond the limit and ErrAlreadyRecorded if another
+// request created the record. After any other error it is unknown whether the record was
+// written, and CommitRecord may be called again. The returned version is that of the rows
+// written, or 0 if an earlier call wrote them and its response was lost.
 func (s *Sender) CommitRecord(ctx context.Context, e catalogue.Entry, d Record, ops ...platform.Op) (version uint64, err error) {
 	put, err := platform.Put(d.Key, 0, d)
 	if err != nil {
@@ -148,12 +148,12 @@
 	}
 }
 
-// recordPause is the pause between tries to record samples while the
-// platform does not answer.
-const recordPause = 100 * time.Millisecond
+// recordRetryDelay is the delay between attempts to record samples while the platform is
+// unavailable.
+const recordRetryDelay = 100 * time.Millisecond
 
-// recordThenSend records d, trying until the platform answers, then sends.
-// Without a record nothing is sent: it would be of unknown age.
+// recordThenSend records d, retrying until the platform is available, and then sends the
+// samples. Samples are not sent without a record because their age could not be checked.
 func (s *Sender) recordThenSend(ctx context.Context, e catalogue.Entry, d Record) error {
 	for {
 		switch _, err := s.CommitRecord(ctx, e, d); {
@@ -165,14 +165,14 @@
 			s.cfg.Counters.Stale.Inc(1)
 			return nil
 		}
-		if !clock.Sleep(ctx, recordPause) {
+		if !clock.Sleep(ctx, recordRetryDelay) {
 			s.cfg.Counters.Lost.Inc(1)
 			return ctx.Err()
 		}
 	}
 }
 
-// send delivers the recorded samples of d, then deletes their record.
+// send sends the recorded samples of d and then deletes the record.
 func (s *Sender) send(ctx context.Context, d Record) error {
 	if _, err := s.Deliver(ctx, d); err != nil {
 		return err
@@ -180,10 +180,10 @@
 	return s.DeleteRecord(ctx, d.Key)
 }
 
-// Deliver sends the recorded samples of d to their trainer, and reports
-// whether it learned them all or found some too old. If they have grown too
-// old since they were recorded they are not sent.
-func (s *Sender) Deliver(ctx context.Context, d Record) (learned bool, err error) {
+// Deliver sends the recorded samples of d to their trainer, and reports whether the trainer
+// accepted all of them. It returns false and no error if samples are too old. Samples that
+// became too old after they were recorded are not sent.
+func (s *Sender) Deliver(ctx context.Context, d Record) (accepted bool, err error) {
 	if e, ok := s.cfg.View().Entries[d.Entry]; ok && s.cfg.View().VersionTooOld(e, d.oldest()) {
 		s.cfg.Counters.Stale.Inc(int64(len(d.Samples)))
 		return false, nil
@@ -193,10 +193,10 @@
 	defer context.AfterFunc(s.cfg.SendContext, cancel)()
 	tc := trainer.NewClient(d.Trainer, s.cfg.HTTP)
 	var ack trainer.Ack
-	for try := range deliveryTries {
+	for try := range maxSends {
 		if try > 0 {
 			s.cfg.Counters.Retries.Inc(1)
-			if !clock.Sleep(ctx, time.Duration(try)*deliveryPause) {
+			if !clock.Sleep(ctx, time.Duration(try)*sendBackoff) {
 				return false, ctx.Err()
 			}
 		}
@@ -206,18 +206,18 @@
 			return len(ack.Stale) == 0, nil
 		}
 	}
-	return false, fmt.Errorf("deliver %s: %w", d.Key, err)
+	return false, fmt.Errorf("send samples of record %s: %w", d.Key, err)
 }
 
-// DeleteRecord deletes the record at key, reading its version first, since a
-// lost reply may have hidden it from the writer.
+// DeleteRecord deletes the record at key if it exists. It reads the record's version first,
+// because the writer does not know it if the response to the write was lost.
 func (s *Sender) DeleteRecord(ctx context.Context, key string) error {
 	row, err := s.cfg.Platform.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("forget %s: %w", key, err)
+		return fmt.Errorf("delete record %s: %w", key, err)
 	}
 	_, err = s.cfg.Platform.Commit(ctx, platform.Delete(key, row.Version))
 	return err
--- a/pkg/delivery/sweep.go
+++ b/pkg/delivery/sweep.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Sweep sends the samples of records older than olderThan, those of
-// each trainer until one cannot be sent, so that a trainer that is away holds
-// up no other. It returns how many records were sent.
+// Sweep sends the samples of records created before olderThan, and returns how many records
+// were sent. If a send to a trainer fails, Sweep skips the remaining records of that
+// trainer, so that an unavailable trainer does not delay others.
 func (s *Sender) Sweep(ctx context.Context, olderThan time.Time) (int, error) {
 	rows, err := s.cfg.Platform.Scan(ctx, prefix)
 	if err != nil {
