--- a/pkg/trainer/trainer.go
+++ b/pkg/trainer/trainer.go
@@ -1,14 +1,14 @@
-// Package trainer delivers training samples to trainers.
+// Package trainer is a client of trainers. It delivers training samples to them.
 //
 // The protocol is HTTP with JSON bodies:
 //
-//	POST /v1/samples   a Group; answers an Ack
+//	POST /v1/samples   a Group; responds with an Ack
 //
-// A trainer treats Sample.ID as the key of the sample: a sample delivered
-// again under the same ID is acknowledged and not learned twice. A trainer
-// knows the versions it has named, also one named while a delivery was under
-// way: it turns away a group with a sample further behind than its
-// MaxVersionLag, whole, and says so in the Ack.
+// A trainer identifies samples by Sample.ID. A sample that is delivered again with the same
+// ID is acknowledged, and the trainer does not train on it twice. A trainer knows the
+// target versions it has set, including one set during a delivery. If one sample of a group
+// is older than its MaxVersionLag allows, the trainer rejects the whole group and lists it
+// as Stale in the Ack.
 package trainer
 
 import (
@@ -19,8 +19,8 @@
 	"github.com/zinnialadder/zinnialadder/internal/httpjson"
 )
 
-// Sample is one rollout: the tokens a request produced, labelled with every
-// weight version that produced them, oldest first.
+// Sample is one rollout: the text generated for a request, with every weight version that
+// produced it, in order.
 type Sample struct {
 	ID             string   `json:"id"`
 	Customer       string   `json:"customer"`
@@ -31,8 +31,8 @@
 	Text           string   `json:"text"`
 }
 
-// OldestVersion returns the oldest weight version that produced s, or 0 if s names
-// none.
+// OldestVersion returns the oldest weight version that produced s, or 0 if s has no
+// version.
 func (s Sample) OldestVersion() uint64 {
 	if len(s.WeightVersions) == 0 {
 		return 0
@@ -40,36 +40,36 @@
 	return slices.Min(s.WeightVersions)
 }
 
-// Group is a batch of samples sent together.
+// Group is a batch of samples that are delivered together.
 type Group struct {
 	Samples []Sample `json:"samples"`
-	// MaxVersionLag is how many versions behind the newest a sample's
-	// oldest version may be.
+	// MaxVersionLag is how many versions behind the newest version the oldest version of a
+	// sample may be.
 	MaxVersionLag uint64 `json:"max_version_lag"`
 }
 
-// Ack lists the IDs the trainer holds after a delivery: New were learned
-// now, Duplicate had been learned before, Stale were turned away since one of
-// their group was too old.
+// Ack is a trainer's response to a delivery. It lists sample IDs: New are accepted by this
+// delivery, Duplicate were accepted by an earlier one, and Stale are rejected because a
+// sample of their group is too old.
 type Ack struct {
 	New       []string `json:"new"`
 	Duplicate []string `json:"duplicate"`
 	Stale     []string `json:"stale,omitempty"`
 }
 
-// Client speaks to one trainer at an address such as "127.0.0.1:7301".
+// Client is an HTTP client of one trainer.
 type Client struct {
 	server httpjson.Client
 }
 
-// NewClient returns a Client for the trainer at addr. A nil hc means
-// http.DefaultClient.
+// NewClient returns a Client for the trainer at addr, such as "127.0.0.1:7301". A nil hc
+// means http.DefaultClient.
 func NewClient(addr string, hc *http.Client) *Client {
 	return &Client{server: httpjson.NewClient("http://"+addr, hc)}
 }
 
-// Deliver sends g and returns the trainer's Ack. An error means the
-// delivery's outcome is unknown; delivering again is safe.
+// Deliver sends g and returns the trainer's Ack. After an error it is unknown whether the
+// trainer accepted g. Delivering g again is safe.
 func (c *Client) Deliver(ctx context.Context, g Group) (Ack, error) {
 	var a Ack
 	err := c.server.Do(ctx, http.MethodPost, "/v1/samples", g, &a)
--- a/pkg/trainer/trainertest/server.go
+++ b/pkg/trainer/trainertest/server.go
@@ -1,5 +1,5 @@
-// Package trainertest is a stand-in for a trainer. It records every
-// delivery of every sample so that tests can see duplicates and labels.
+// Package trainertest implements a fake trainer. It records every delivery of every sample,
+// so that tests can check for duplicates and weight versions.
 package trainertest
 
 import (
@@ -14,16 +14,16 @@
 	"github.com/zinnialadder/zinnialadder/pkg/trainer"
 )
 
-// ReceivedSample is what the stand-in holds of one sample ID.
+// ReceivedSample is a sample that the fake trainer accepted.
 type ReceivedSample struct {
 	Sample     trainer.Sample `json:"sample"`
 	Deliveries int            `json:"deliveries"`
-	At         time.Time      `json:"at"` // of the first delivery
-	// Altered is set if a later delivery of the ID brought another sample.
+	At         time.Time      `json:"at"` // time of the first delivery
+	// Altered is set if a later delivery with the same ID had different contents.
 	Altered bool `json:"altered"`
 }
 
-// Server is the stand-in. Its zero value is ready to use.
+// Server is a fake trainer. The zero value is ready for use.
 type Server struct {
 	mu       sync.Mutex
 	received map[string]*ReceivedSample
@@ -32,7 +32,7 @@
 	delay    time.Duration
 }
 
-// Handler returns the trainer protocol, with GET /v1/received for tests.
+// Handler returns a handler of the trainer protocol, and of GET /v1/received for tests.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/samples", s.deliver)
@@ -42,30 +42,30 @@
 	return mux
 }
 
-// DropAcks makes the stand-in learn the next n deliveries but lose the
-// replies, as a lost acknowledgement looks.
+// DropAcks makes the trainer accept the next n deliveries and respond with an error, as if
+// the acknowledgement had been lost.
 func (s *Server) DropAcks(n int) {
 	s.mu.Lock()
 	s.dropAcks = n
 	s.mu.Unlock()
 }
 
-// SetTargetVersion tells the stand-in that it has named version v.
+// SetTargetVersion raises the trainer's target version to v. Lower values of v have no
+// effect.
 func (s *Server) SetTargetVersion(v uint64) {
 	s.mu.Lock()
 	s.newest = max(s.newest, v)
 	s.mu.Unlock()
 }
 
-// Delay makes the stand-in wait for d between learning a delivery and its
-// acknowledgement.
+// Delay makes the trainer wait for d between accepting a delivery and acknowledging it.
 func (s *Server) Delay(d time.Duration) {
 	s.mu.Lock()
 	s.delay = d
 	s.mu.Unlock()
 }
 
-// Received returns every sample held, by ID.
+// Received returns the accepted samples, sorted by ID.
 func (s *Server) Received() []ReceivedSample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,19 +82,19 @@
 	if !httpjson.Read(w, r, &g) {
 		return
 	}
-	ack, lose := s.learn(g)
+	ack, dropAck := s.accept(g)
 	s.mu.Lock()
 	delay := s.delay
 	s.mu.Unlock()
 	time.Sleep(delay)
-	if lose {
-		http.Error(w, "ack lost", http.StatusGatewayTimeout)
+	if dropAck {
+		http.Error(w, "acknowledgement dropped", http.StatusGatewayTimeout)
 		return
 	}
 	httpjson.Write(w, http.StatusOK, ack)
 }
 
-func (s *Server) learn(g trainer.Group) (trainer.Ack, bool) {
+func (s *Server) accept(g trainer.Group) (trainer.Ack, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.received == nil {
--- a/pkg/trainer/trainertest/server_test.go
+++ b/pkg/trainer/trainertest/server_test.go
@@ -9,9 +9,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/trainer/trainertest"
 )
 
-// A group of which one sample is too old is turned away whole, so that it can
-// be made and delivered again with none of its samples delivered twice.
-func TestGroupIsLearnedWholeOrNotAtAll(t *testing.T) {
+// A group with one sample that is too old is rejected as a whole, so that it can be
+// generated and delivered again without delivering any sample twice.
+func TestGroupIsAcceptedOrRejectedAsWhole(t *testing.T) {
 	var s trainertest.Server
 	srv := httptest.NewServer(s.Handler())
 	defer srv.Close()
@@ -29,9 +29,9 @@
 	}
 	s.SetTargetVersion(3)
 	if ack := deliver(3, 1); len(ack.Stale) != 2 || len(s.Received()) != 0 {
-		t.Fatalf("group with one old sample: %+v, %d learned; want none", ack, len(s.Received()))
+		t.Fatalf("group with one old sample: got ack %+v and %d samples accepted, want 2 stale and 0 accepted", ack, len(s.Received()))
 	}
 	if ack := deliver(3, 2); len(ack.New) != 2 {
-		t.Fatalf("group made again: %+v, want 2 learned", ack)
+		t.Fatalf("group generated again: got ack %+v, want 2 new samples", ack)
 	}
 }
