--- a/pkg/submission/append.go
+++ b/pkg/submission/append.go
@@ -8,12 +8,14 @@
 	"github.com/zinnialadder/zinnialadder/pkg/clock"
 )
 
-// append writes the results that are ready, one batch at a time.
-func (r *Runner) append(ctx context.Context) error {
+// appendResults starts a write of the results that have no position yet, unless one is
+// in flight. It returns ErrNotOwner once this instance does not own the submission any
+// more.
+func (r *Runner) appendResults(ctx context.Context) error {
 	if r.appending {
 		return nil
 	}
-	if r.lost() {
+	if r.ownershipLost() {
 		return ErrNotOwner
 	}
 	position, results := r.run.Unwritten()
@@ -21,46 +23,47 @@
 		return nil
 	}
 	r.appending = true
-	batch, wait := r.batch, r.pause
+	batch, wait := r.batch, r.appendBackoff
 	r.group.Go(func() error {
 		b, err := r.write(ctx, batch, position, results)
 		if err != nil && !errors.Is(err, ErrNotOwner) {
 			clock.Sleep(ctx, wait)
 		}
-		r.tell(ctx, func(time.Time) { r.appended(b, err) })
+		r.post(ctx, func(time.Time) { r.appendEnded(b, err) })
 		return nil
 	})
 	return nil
 }
 
-func (r *Runner) lost() bool { return r.owned.Fencing == 0 }
+func (r *Runner) ownershipLost() bool { return r.head.Fencing == 0 }
 
-// write writes batch, or a new one of results if it is nil.
+// write writes batch, or a new one prepared from results if batch is nil. It returns
+// the batch, which must be written again unchanged if the write failed.
 func (r *Runner) write(ctx context.Context, batch *Batch, position int, results []Result) (*Batch, error) {
 	if batch == nil {
-		b, err := r.cfg.Repository.PrepareBatch(ctx, r.owned, position, results)
+		b, err := r.cfg.Repository.PrepareBatch(ctx, r.head, position, results)
 		if err != nil {
 			return nil, err
 		}
 		batch = &b
 	}
-	return batch, r.cfg.Repository.Append(ctx, r.owned, *batch)
+	return batch, r.cfg.Repository.Append(ctx, r.head, *batch)
 }
 
-// appended takes the outcome of a write.
-func (r *Runner) appended(b *Batch, err error) {
+// appendEnded applies the outcome of a write.
+func (r *Runner) appendEnded(b *Batch, err error) {
 	r.appending = false
 	switch {
 	case errors.Is(err, ErrNotOwner):
-		r.owned.Fencing = 0
+		r.head.Fencing = 0
 		return
 	case err != nil:
 		r.batch = b
-		r.pause = min(2*r.pause, maxAppendPause)
+		r.appendBackoff = min(2*r.appendBackoff, maxAppendBackoff)
 		r.cfg.OnEvent(RunEvent{What: "results not written", Submission: r.spec.ID, Err: err})
 		return
 	}
-	r.batch, r.pause = nil, appendPause
+	r.batch, r.appendBackoff = nil, minAppendBackoff
 	r.run.Written(len(b.Results))
 	r.mu.Lock()
 	r.results = append(r.results, b.Results...)
@@ -70,21 +73,21 @@
 	r.cfg.OnEvent(RunEvent{What: "listed", Submission: r.spec.ID, Position: b.Position, Events: len(b.Results)})
 }
 
-// complete marks the submission as one of which nothing runs any more.
+// complete marks the submission as complete: every result is written and nothing runs.
 func (r *Runner) complete(ctx context.Context) error {
-	o, err := r.cfg.Repository.UpdateHead(ctx, r.owned, func(h Head) (Head, bool) {
-		if h.Owner != r.owned.Owner || !h.Open() {
+	o, err := r.cfg.Repository.UpdateHead(ctx, r.head, func(h Head) (Head, bool) {
+		if h.Owner != r.head.Owner || !h.Open() {
 			return h, false
 		}
 		h.Complete = true
 		return h, true
 	})
 	if err == nil {
-		r.owned = o
+		r.head = o
 	}
 	return err
 }
 
-// Head returns the head as the run left it, without a fencing token if the
-// submission was lost. It is called after Run has returned.
-func (r *Runner) Head() HeadRow { return r.owned }
+// Head returns the head as last written or read by the run, with a zero fencing token
+// if the submission was lost. It must not be called before Run has returned.
+func (r *Runner) Head() HeadRow { return r.head }
--- a/pkg/submission/batch.go
+++ b/pkg/submission/batch.go
@@ -10,16 +10,18 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// Batch is a run of results at consecutive positions, ready to be written in
-// one transaction. It must be written again as it is until its outcome is known.
+// Batch holds results at consecutive positions that are written in one transaction. It
+// must be written again unchanged until its outcome is known: the first call may still
+// be carried out.
 type Batch struct {
 	Position int
 	Results  []Result
 	ops      []platform.Op
 }
 
-// PrepareBatch makes a Batch of the first of results, as many as fit into one
-// transaction.
+// PrepareBatch returns a Batch of the first of results, as many as fit into one
+// transaction. Results larger than l.MaxRow bytes are stored as objects first; the
+// error is the store's or that of the encoding.
 func (l Repository) PrepareBatch(ctx context.Context, o HeadRow, position int, results []Result) (Batch, error) {
 	b := Batch{Position: position, ops: []platform.Op{platform.Check(headKey(o.ID), o.Fencing)}}
 	bytes := 0
@@ -28,7 +30,7 @@
 		if err != nil {
 			return Batch{}, err
 		}
-		if bytes += len(op.Value); len(b.Results) == maxBatch || bytes > maxBatchBytes && len(b.Results) > 0 {
+		if bytes += len(op.Value); len(b.Results) == maxBatchResults || bytes > maxBatchBytes && len(b.Results) > 0 {
 			break
 		}
 		b.ops, b.Results = append(b.ops, op), append(b.Results, r)
@@ -52,12 +54,12 @@
 	return platform.Put(resultKey(id, position), 0, storedResult{Result: Result{Item: r.Item, State: r.State}, Object: name})
 }
 
-// ErrNotOwner is returned by Append when the submission has ended or another
-// instance owns it.
-var ErrNotOwner = errors.New("submission: no longer owned")
+// ErrNotOwner is returned by calls that write for a submission which has ended or has
+// another owner by now.
+var ErrNotOwner = errors.New("submission: this instance is not the owner")
 
-// Append writes b. It returns ErrLost if o is no longer the submission's head,
-// or an error of the platform, after which b is to be written again.
+// Append writes b. It returns ErrNotOwner if o is no longer the submission's head, or
+// an error of the store, after which b must be written again.
 func (l Repository) Append(ctx context.Context, o HeadRow, b Batch) error {
 	_, err := l.Store.Commit(ctx, b.ops...)
 	var ce *platform.ConflictError
@@ -69,8 +71,8 @@
 	}
 	for _, op := range b.ops {
 		if op.Key == ce.Key && !bytes.Equal(op.Value, ce.Current.Value) {
-			return fmt.Errorf("%w: %s holds another result", ErrNotOwner, ce.Key)
+			return fmt.Errorf("%w: row %s holds a different result", ErrNotOwner, ce.Key)
 		}
 	}
-	return nil // written by an earlier call of this batch, whose answer was lost
+	return nil // an earlier write of this batch succeeded and its response was lost
 }
--- a/pkg/submission/generate.go
+++ b/pkg/submission/generate.go
@@ -13,19 +13,19 @@
 	"github.com/zinnialadder/zinnialadder/pkg/upstream"
 )
 
-// start starts item i and reports whether an engine had room for it.
-func (r *Runner) start(ctx context.Context, i int, rt routetable.Route, now time.Time) bool {
+// startItem starts an attempt at item i and reports whether an engine had a free slot.
+func (r *Runner) startItem(ctx context.Context, i int, rt routetable.Route, now time.Time) bool {
 	it := r.spec.Items[i]
 	after, versions := r.run.LastEvent(i)
 	expect := uint64(0)
 	w := upstream.Requirements{Pool: rt.PickPool(r.cfg.Rand()), Now: now, Model: r.spec.Model, MinVersion: r.spec.MinVersion, Affinity: it.Affinity, NeedFreeSlot: true}
-	again := w // if it is moved
+	elsewhere := w // what a faster engine must offer for the text to be moved there
 	t, ok := r.cfg.Registry.Acquire(w)
-	named := r.cfg.TargetVersion(r.spec.Model)
-	if !ok && named >= r.spec.MinVersion && named > 0 && !r.cfg.Guard.NeedsTrial(r.generation(i, after).content(r.spec.Model), now) {
-		// An engine may hold the version before its entry tells so. It is asked
-		// to turn the request away if it does not.
-		w.Outdated, expect = true, named
+	target := r.cfg.TargetVersion(r.spec.Model)
+	if !ok && target >= r.spec.MinVersion && target > 0 && !r.cfg.Guard.NeedsTrial(r.generation(i, after).content(r.spec.Model), now) {
+		// An engine may hold the target version before its registry entry says so. The
+		// request names the version, and the engine refuses it if it does not hold it.
+		w.Outdated, expect = true, target
 		t, ok = r.cfg.Registry.Acquire(w)
 	}
 	if !ok {
@@ -41,95 +41,101 @@
 	r.run.Started(i, now)
 	r.cfg.OnEvent(RunEvent{What: "generating", Submission: r.spec.ID, Item: it.ID, Upstream: t.ID, Events: after})
 	r.group.Go(func() error {
-		p, err := r.generate(ctx, t, again, g, func(p AttemptOutput) {
-			r.tell(ctx, func(time.Time) { r.run.AddEvents(i, p, terms(rt)) })
+		p, err := r.generate(ctx, t, elsewhere, g, func(p AttemptOutput) {
+			r.post(ctx, func(time.Time) { r.run.AddEvents(i, p, itemPolicy(rt)) })
 		})
 		ended := RunEvent{What: "generated", Submission: r.spec.ID, Item: it.ID, Upstream: t.ID, Events: len(p.Events), Status: p.Status, Err: err}
 		if err != nil && !errors.Is(err, forward.ErrNotRun) {
 			ended.Content = g.content(r.spec.Model).Fingerprint()
 		}
 		r.cfg.OnEvent(ended)
-		r.tell(ctx, func(now time.Time) { r.run.AttemptEnded(i, p, terms(rt), now) })
+		r.post(ctx, func(now time.Time) { r.run.AttemptEnded(i, p, itemPolicy(rt), now) })
 		return nil
 	})
 	return true
 }
 
-// generate reads one text, or a part of it, from the ticket's engine. again is
-// what it would ask of another one. flush is given the events as they come; the
-// last of them are returned.
-func (r *Runner) generate(owned context.Context, t *upstream.Reservation, again upstream.Requirements, g GenerateRequest, flush func(AttemptOutput)) (AttemptOutput, error) {
-	guarded, err := r.cfg.Guard.Begin(owned, g.content(r.spec.Model), t.Entry)
+// generate makes one attempt: it reads the text, or the part that the attempt produces,
+// from the engine of reservation t, and releases t. elsewhere is what another engine
+// must offer for the text to be moved there. flush is called with events as they
+// arrive; the events not flushed are returned. The attempt is cancelled with ownerCtx,
+// and when the engine sends nothing for firstEventTimeout or eventTimeout.
+func (r *Runner) generate(ownerCtx context.Context, t *upstream.Reservation, elsewhere upstream.Requirements, g GenerateRequest, flush func(AttemptOutput)) (AttemptOutput, error) {
+	guarded, err := r.cfg.Guard.Begin(ownerCtx, g.content(r.spec.Model), t.Entry)
 	if err != nil {
 		t.Release()
 		return AttemptOutput{}, err
 	}
-	ctx, cancel := context.WithCancel(owned)
+	ctx, cancel := context.WithCancel(ownerCtx)
 	defer cancel()
-	silence := time.AfterFunc(firstEventLimit, cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(firstEventTimeout, cancel)
+	defer idleTimer.Stop()
 	var p AttemptOutput
 	s, load, err := r.cfg.Generator.Generate(ctx, t.Entry, g)
 	if err == nil {
 		defer s.Close()
-		t.Observe(upstream.AttemptResult{At: time.Now(), Load: load, Versions: r.version(s.Version())})
-		p, err = r.read(t, again, s, silence, flush)
+		t.Observe(upstream.AttemptResult{At: time.Now(), Load: load, Versions: r.observedVersions(s.Version())})
+		p, err = r.read(t, elsewhere, s, idleTimer, flush)
 	}
 	now := time.Now()
-	rep := upstream.AttemptResult{At: now, Load: load}
+	res := upstream.AttemptResult{At: now, Load: load}
 	var se *StatusError
 	switch {
 	case err == nil:
 		p.Complete = true
-	case errors.Is(err, errSlow):
+	case errors.Is(err, errSlowEngine):
 	case errors.As(err, &se):
-		p.Status, rep.Load = se.Status, se.Load
-		rep.Failed = se.Status > http.StatusInternalServerError
+		p.Status, res.Load = se.Status, se.Load
+		res.Failed = se.Status > http.StatusInternalServerError
 	case errors.Is(err, ErrVersionMismatch):
-		rep.VersionRefused = true
-	case forward.RecordRefusal(&rep, err, refusedPause):
-	case owned.Err() != nil:
-		// Cancelled here: that says nothing of the engine.
+		res.VersionRefused = true
+	case forward.RecordRefusal(&res, err, refusalBackoff):
+	case ownerCtx.Err() != nil:
+		// Cancelled by this instance: this says nothing about the engine.
 	case ctx.Err() == nil && s != nil && s.Last() > g.After:
-		// Its engine ended a stream that went well: it loads weights, is moved
-		// away or has crashed, which the next request finds out.
-		rep.Busy, rep.BusyUntil = true, now.Add(refusedPause)
+		// The engine ended a stream that had sent events: it loads weights, is being
+		// taken away or has crashed. The next request to it will tell which.
+		res.Busy, res.BusyUntil = true, now.Add(refusalBackoff)
 	default:
-		rep.Failed = true
+		res.Failed = true
 	}
-	t.Done(rep)
-	guarded.Done(owned, outcome(ctx, p, err))
+	t.Done(res)
+	guarded.Done(ownerCtx, outcome(ctx, p, err))
 	return p, err
 }
 
-// outcome returns how an attempt at a text ended whose context was ctx.
+// outcome returns the quarantine outcome of an attempt that ended with p and err and
+// ran under ctx.
 func outcome(ctx context.Context, p AttemptOutput, err error) quarantine.Outcome {
 	switch {
 	case err == nil, p.Status != 0 && p.Status < http.StatusInternalServerError:
 		return quarantine.Answered
-	case p.Status != 0, errors.Is(err, errTooOld):
+	case p.Status != 0, errors.Is(err, errVersionTooOld):
 		return quarantine.Failed
 	case errors.Is(err, forward.ErrUnreachable):
 		return quarantine.Unreachable
 	case errors.Is(err, forward.ErrNotRun):
 		return quarantine.NotRun
-	case errors.Is(err, errSlow), ctx.Err() != nil:
+	case errors.Is(err, errSlowEngine), ctx.Err() != nil:
 		return quarantine.Abandoned
 	}
 	return quarantine.ConnectionLost
 }
 
-// version tells what an engine's answer showed of its weights.
-func (r *Runner) version(v uint64) map[string]uint64 {
+// observedVersions returns the weight version v of an engine's response by model, or
+// nil if it is not known.
+func (r *Runner) observedVersions(v uint64) map[string]uint64 {
 	if r.spec.Model == "" || v == 0 {
 		return nil
 	}
 	return map[string]uint64{r.spec.Model: v}
 }
 
-// read reads the events of s. It ends early, with an error, at a version that
-// is too old for the submission, and when the engine is slow and another has room.
-func (r *Runner) read(t *upstream.Reservation, again upstream.Requirements, s Stream, silence *time.Timer, flush func(AttemptOutput)) (AttemptOutput, error) {
+// read reads the events of s and passes them to flush in portions, returning those that
+// are left. It stops with errVersionTooOld at a weight version below the submission's
+// minimum, and with errSlowEngine when the engine is slow and a faster one has a free
+// slot.
+func (r *Runner) read(t *upstream.Reservation, elsewhere upstream.Requirements, s Stream, idleTimer *time.Timer, flush func(AttemptOutput)) (AttemptOutput, error) {
 	var p AttemptOutput
 	version := s.Version()
 	last := time.Now()
@@ -141,12 +147,12 @@
 		if err != nil {
 			return p, err
 		}
-		silence.Reset(eventGapLimit)
+		idleTimer.Reset(eventTimeout)
 		if e.Version != 0 {
 			version = e.Version
 		}
 		if version != 0 && version < r.spec.MinVersion {
-			return p, errTooOld
+			return p, errVersionTooOld
 		}
 		if version != 0 && (len(p.Versions) == 0 || p.Versions[len(p.Versions)-1] != version) {
 			p.Versions = append(p.Versions, version)
@@ -157,9 +163,9 @@
 			continue
 		}
 		t.Observe(upstream.AttemptResult{At: now, TimePerUnit: now.Sub(last) / time.Duration(len(p.Events))})
-		again.Now = now
-		if t.FasterAvailable(again, SlowEngineFactor) {
-			return p, errSlow
+		elsewhere.Now = now
+		if t.FasterAvailable(elsewhere, SlowEngineFactor) {
+			return p, errSlowEngine
 		}
 		flush(p)
 		p, last = AttemptOutput{Versions: []uint64{version}}, now
@@ -169,7 +175,7 @@
 	}
 }
 
-// errSlow ends a text that goes on at a faster engine.
-var errSlow = errors.New("submission: another engine is faster")
+// errSlowEngine ends an attempt whose text continues at a faster engine.
+var errSlowEngine = errors.New("submission: another engine is faster")
 
-var errTooOld = errors.New("submission: the engine's weights are too old")
+var errVersionTooOld = errors.New("submission: weight version of the engine is below the submission's minimum")
--- a/pkg/submission/tables.go
+++ b/pkg/submission/keys.go
@@ -7,10 +7,10 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// HeadPrefixes returns the prefixes of the keys of all heads.
+// HeadPrefixes returns the key prefixes of all heads, one for each partition.
 func HeadPrefixes() []string { return prefixes(HeadsTable) }
 
-// ResultPrefixes returns the prefixes of the keys of all results.
+// ResultPrefixes returns the key prefixes of all results, one for each partition.
 func ResultPrefixes() []string { return prefixes(ResultsTable) }
 
 func prefixes(table string) []string {
@@ -21,13 +21,13 @@
 	return out
 }
 
-// ObjectNames returns the names of the objects that may belong to a row of a head
-// or a result; not each of them need exist.
+// ObjectNames returns the names of the objects that a head's or a result's row may
+// refer to. Not all of them need exist.
 func ObjectNames(row platform.Row) []string {
 	if strings.HasPrefix(row.Key, HeadsTable+"/") {
 		h, err := DecodeHead(row)
 		if err != nil {
-			return nil // it names none
+			return nil // a malformed row refers to no object
 		}
 		out := []string{specName(h.ID, h.Customer), progressName(h.ID, row.Version)}
 		if h.ProgressToken != 0 {
@@ -35,7 +35,7 @@
 		}
 		return out
 	}
-	s, err := decodeStored(row)
+	s, err := decodeStoredResult(row)
 	if err != nil || s.Object == "" {
 		return nil
 	}
--- a/pkg/submission/left.go
+++ b/pkg/submission/prior_work.go
@@ -11,39 +11,40 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// PriorWork is what the owners before have left of a submission.
+// PriorWork is what previous owners have stored of a submission.
 type PriorWork struct {
-	Results  []Result      // written
-	Partials []PartialText // begun
-	// ProgressToken is the fencing token under which the texts were kept; 0 if
-	// nobody kept any.
+	Results  []Result      // that have a position
+	Partials []PartialText // texts that are not complete
+	// ProgressToken is the fencing token under which Partials are stored; 0 if none
+	// are.
 	ProgressToken uint64
 }
 
-// PriorWork reads what the owners before have left, given the head as they left it,
-// which has been claimed since so that none of them can write any more.
-func (l Repository) PriorWork(ctx context.Context, left HeadRow) (PriorWork, error) {
+// PriorWork reads what previous owners have stored. prev is the head as they left it.
+// The caller must have claimed the submission since, so that none of them can write any
+// more.
+func (l Repository) PriorWork(ctx context.Context, prev HeadRow) (PriorWork, error) {
 	var out PriorWork
-	if !left.Claimed && left.Head.ProgressToken == 0 {
-		return out, nil // nobody has run it
+	if !prev.Claimed && prev.Head.ProgressToken == 0 {
+		return out, nil // no instance has run it
 	}
-	out.ProgressToken = left.Fencing
-	if left.Owner == "" {
-		out.ProgressToken = left.Head.ProgressToken // given up
+	out.ProgressToken = prev.Fencing
+	if prev.Owner == "" {
+		out.ProgressToken = prev.Head.ProgressToken // the last owner gave the submission up
 	}
 	var g errgroup.Group
 	g.Go(func() (err error) {
-		out.Results, err = l.AllResults(ctx, left.ID)
+		out.Results, err = l.AllResults(ctx, prev.ID)
 		return err
 	})
 	g.Go(func() (err error) {
-		out.Partials, err = l.progress(ctx, left.ID, out.ProgressToken)
+		out.Partials, err = l.progress(ctx, prev.ID, out.ProgressToken)
 		return err
 	})
 	return out, g.Wait()
 }
 
-// PartialText is the text of an item that is not whole yet.
+// PartialText is the text of an item that is not complete.
 type PartialText struct {
 	Item     string   `json:"item"`
 	Text     []string `json:"text"`
@@ -55,7 +56,7 @@
 	return objectPrefix + id + "-progress-" + strconv.FormatUint(fencing, 10)
 }
 
-// PutProgress keeps the texts that the owner o has so far, for its successor.
+// PutProgress stores the partial texts of owner o for its successor.
 func (l Repository) PutProgress(ctx context.Context, o HeadRow, ps []PartialText) error {
 	data, err := json.Marshal(ps)
 	if err != nil {
@@ -64,8 +65,8 @@
 	return l.Store.PutObject(ctx, progressName(o.ID, o.Fencing), data)
 }
 
-// progress returns the texts that were kept under a fencing token. There are none
-// if none were.
+// progress returns the partial texts stored under a fencing token, nil if there are
+// none.
 func (l Repository) progress(ctx context.Context, id string, fencing uint64) ([]PartialText, error) {
 	data, err := l.Store.GetObject(ctx, progressName(id, fencing))
 	if errors.Is(err, platform.ErrNotFound) {
--- a/pkg/submission/log.go
+++ b/pkg/submission/repository.go
@@ -19,40 +19,40 @@
 }
 
 const (
-	// retryPause is the pause before a call of the store is made again.
-	retryPause = 60 * time.Millisecond
-	// scanRows is how many results are read in one call, fewer than the 1 MB
-	// that the store answers at most if each is of the usual size.
+	// storeRetryDelay is the delay before a failed call to the store is repeated.
+	storeRetryDelay = 60 * time.Millisecond
+	// scanRows is how many results one call reads. With results of the usual size this
+	// stays below 1 MB, the most that the store returns.
 	scanRows = 100
 )
 
-// Repository keeps submissions and their results in the store.
+// Repository reads and writes submissions and their results in the store.
 type Repository struct {
 	Store Store
-	// MaxRow is the largest value of a row, in bytes; results that are longer
-	// are kept as objects.
+	// MaxRow is the largest value of a row, in bytes. Larger results are stored as
+	// objects.
 	MaxRow int
 }
 
-// HeadRow is a submission's head as it was written by its owner.
+// HeadRow is a submission's head with the version of its row.
 type HeadRow struct {
 	Head
-	Fencing uint64 // version of the head's row
+	Fencing uint64 // version of the head's row, which is the owner's fencing token
 }
 
-// DecodeHead reads a head from its row.
+// DecodeHead decodes a head from its row.
 func DecodeHead(row platform.Row) (Head, error) {
 	var h Head
 	if err := json.Unmarshal(row.Value, &h); err != nil {
-		return Head{}, fmt.Errorf("submission: head %s: %w", row.Key, err)
+		return Head{}, fmt.Errorf("submission: decode head %s: %w", row.Key, err)
 	}
 	return h, nil
 }
 
-// Accept keeps s, owned by owner, who runs it already if claimed says so, and
-// tries that until ctx ends. Its errors tell whether s
-// may have been kept: platform.ErrNotDone means that it is not and will not
-// be. Another copy of s that is kept already is no error; its head is returned.
+// Accept stores s with its owner and retries until ctx ends; claimed says that the
+// owner runs it already. If s is stored already, it returns the stored head and no
+// error. An error that is platform.ErrNotApplied means that s is not and will not be
+// stored; after any other error it may have been.
 func (l Repository) Accept(ctx context.Context, s Spec, owner string, claimed bool, now time.Time) (HeadRow, error) {
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -63,23 +63,24 @@
 		if err == nil {
 			break
 		}
-		if !clock.Sleep(ctx, retryPause) {
-			return HeadRow{}, fmt.Errorf("%w: its object: %v", platform.ErrNotApplied, err) // without a head, nothing is kept
+		if !clock.Sleep(ctx, storeRetryDelay) {
+			return HeadRow{}, fmt.Errorf("%w: store the spec object: %v", platform.ErrNotApplied, err) // without its head the submission does not exist
 		}
 	}
 	h := Head{ID: s.ID, Host: s.Host, Path: s.Path, Model: s.Model, Customer: s.Customer, MinVersion: s.MinVersion, Step: s.Step,
-		Total: len(s.Items), EstimatedLength: s.EstimatedLength(), AcceptedAt: now.UTC().Round(0), Owner: owner, Claimed: claimed} // as it is read back
-	return l.put(ctx, h, 0)
+		Total: len(s.Items), EstimatedLength: s.EstimatedLength(), AcceptedAt: now.UTC().Round(0), Owner: owner, Claimed: claimed} // UTC without a monotonic reading, so that it equals what is read back
+	return l.putHead(ctx, h, 0)
 }
 
-// put writes h if its row is at expect, until ctx ends or the outcome is known.
-// A row that stands there already is returned instead.
-func (l Repository) put(ctx context.Context, h Head, expect uint64) (HeadRow, error) {
+// putHead writes h if its row is at version expect, and retries until the outcome is
+// known or ctx ends. If the row has another version it returns that row instead, or
+// ErrNotFound if there is no row.
+func (l Repository) putHead(ctx context.Context, h Head, expect uint64) (HeadRow, error) {
 	op, err := platform.Put(headKey(h.ID), expect, h)
 	if err != nil {
 		return HeadRow{}, err
 	}
-	unknown := false // an earlier call may still be carried out
+	unknown := false // an earlier call may have been applied, or still be
 	for {
 		rows, err := l.Store.Commit(ctx, op)
 		var ce *platform.ConflictError
@@ -96,7 +97,7 @@
 			return HeadRow{}, err
 		}
 		unknown = unknown || !errors.Is(err, platform.ErrNotApplied)
-		if !clock.Sleep(ctx, retryPause) {
+		if !clock.Sleep(ctx, storeRetryDelay) {
 			if unknown {
 				return HeadRow{}, fmt.Errorf("submission %s: outcome unknown: %w", h.ID, platform.ErrUnavailable)
 			}
@@ -105,7 +106,8 @@
 	}
 }
 
-// Head reads the head of a submission, or ErrUnknown, or ErrNotSure.
+// Head reads the head of a submission. It returns ErrNotFound if there is none, and
+// ErrStoreUnavailable if the store does not answer.
 func (l Repository) Head(ctx context.Context, id string) (HeadRow, error) {
 	row, err := l.Store.Get(ctx, headKey(id))
 	switch {
@@ -118,15 +120,16 @@
 	return HeadRow{Head: h, Fencing: row.Version}, err
 }
 
-// UpdateHead rewrites a head until ctx ends: change returns the new head, or false
-// if nothing is to be written. It returns the head as it stands then.
+// UpdateHead changes a head by compare-and-set and retries until ctx ends. change
+// returns the new head, or false if nothing is to be written. The head as it stands
+// afterwards is returned.
 func (l Repository) UpdateHead(ctx context.Context, cur HeadRow, change func(Head) (Head, bool)) (HeadRow, error) {
 	for {
 		next, ok := change(cur.Head)
 		if !ok {
 			return cur, nil
 		}
-		got, err := l.put(ctx, next, cur.Fencing)
+		got, err := l.putHead(ctx, next, cur.Fencing)
 		if err != nil {
 			return HeadRow{}, err
 		}
@@ -137,26 +140,27 @@
 	}
 }
 
-// Claim makes owner the one that runs a submission, given the head as it was
-// left, and returns the head that fences it. It returns ErrLost if the head has
-// changed: what was left is then another's, or more than the caller knows of.
-func (l Repository) Claim(ctx context.Context, left HeadRow, owner string) (HeadRow, error) {
-	if !left.Open() {
+// Claim makes owner the instance that runs a submission, and returns the head whose
+// version is its fencing token. prev is the head as the previous owner left it. If the
+// head has changed since, Claim returns ErrNotOwner: another instance has claimed the
+// submission, or there is more prior work than the caller knows of.
+func (l Repository) Claim(ctx context.Context, prev HeadRow, owner string) (HeadRow, error) {
+	if !prev.Open() {
 		return HeadRow{}, ErrNotOwner
 	}
-	claimed := left.Head
+	claimed := prev.Head
 	claimed.Owner, claimed.Claimed, claimed.ProgressToken = owner, true, 0
-	if claimed == left.Head {
-		return left, nil // claimed before
+	if claimed == prev.Head {
+		return prev, nil // already claimed by this owner
 	}
-	got, err := l.put(ctx, claimed, left.Fencing)
+	got, err := l.putHead(ctx, claimed, prev.Fencing)
 	if err == nil && got.Head != claimed {
 		return HeadRow{}, ErrNotOwner
 	}
 	return got, err
 }
 
-// Spec reads what the sender of a submission handed over.
+// Spec reads the submission as its sender sent it.
 func (l Repository) Spec(ctx context.Context, o HeadRow) (Spec, error) {
 	data, err := l.Store.GetObject(ctx, specName(o.ID, o.Customer))
 	if err != nil {
@@ -164,18 +168,18 @@
 	}
 	var s Spec
 	if err := json.Unmarshal(data, &s); err != nil {
-		return Spec{}, fmt.Errorf("submission %s: %w", o.ID, err)
+		return Spec{}, fmt.Errorf("submission %s: decode spec: %w", o.ID, err)
 	}
 	return s, nil
 }
 
-// DeleteSpec deletes what Accept wrote of a submission that is not kept, as another
-// customer's has its ID.
+// DeleteSpec deletes the spec object that Accept wrote for a submission that was not
+// stored, because a submission of another customer has its ID.
 func (l Repository) DeleteSpec(ctx context.Context, s Spec) error {
 	return l.Store.DeleteObject(ctx, specName(s.ID, s.Customer))
 }
 
-// Results reads up to limit results from position on.
+// Results reads up to limit results, starting at position.
 func (l Repository) Results(ctx context.Context, id string, position, limit int) ([]Result, error) {
 	page, err := l.Store.ScanFrom(ctx, resultsPrefix(id), resultKey(id, position), limit)
 	if err != nil {
@@ -192,7 +196,7 @@
 	return out, nil
 }
 
-// AllResults reads every result.
+// AllResults reads every result, in order of position.
 func (l Repository) AllResults(ctx context.Context, id string) ([]Result, error) {
 	var out []Result
 	for {
@@ -207,22 +211,23 @@
 	}
 }
 
-// storedResult is a row of a result: the result, or the name of its object.
+// storedResult is the value of a result's row: the result, or the name of the object
+// that holds it.
 type storedResult struct {
 	Result
 	Object string `json:"object,omitempty"`
 }
 
-func decodeStored(row platform.Row) (storedResult, error) {
+func decodeStoredResult(row platform.Row) (storedResult, error) {
 	var s storedResult
 	if err := json.Unmarshal(row.Value, &s); err != nil {
-		return s, fmt.Errorf("submission: result %s: %w", row.Key, err)
+		return s, fmt.Errorf("submission: decode result %s: %w", row.Key, err)
 	}
 	return s, nil
 }
 
 func (l Repository) decodeResult(ctx context.Context, row platform.Row) (Result, error) {
-	s, err := decodeStored(row)
+	s, err := decodeStoredResult(row)
 	if err != nil {
 		return Result{}, err
 	}
@@ -235,16 +240,16 @@
 	}
 	var r Result
 	if err := json.Unmarshal(data, &r); err != nil {
-		return Result{}, fmt.Errorf("submission: result object %s: %w", s.Object, err)
+		return Result{}, fmt.Errorf("submission: decode result object %s: %w", s.Object, err)
 	}
 	return r, nil
 }
 
 const (
-	// maxBatch is how many results one transaction holds; the store takes 100
-	// entries in all, of which each result is two.
-	maxBatch = 48
-	// maxBatchBytes bounds the values of one transaction: the store takes 1 MB,
-	// of which base64 adds a third.
+	// maxBatchResults is how many results one transaction holds. The store accepts 100
+	// entries in a transaction, and a result counts as two.
+	maxBatchResults = 48
+	// maxBatchBytes bounds the values of one transaction. The store accepts 1 MB, and
+	// base64 adds a third to the values.
 	maxBatchBytes = 600 << 10
 )
--- a/pkg/submission/run.go
+++ b/pkg/submission/run.go
@@ -8,107 +8,106 @@
 	"time"
 )
 
-// phase is where an item of a Run stands.
+// phase is the state of an item of a Run.
 type phase int
 
 const (
-	waiting  phase = iota // for an engine
-	running               // at an engine
-	unscored              // its text is whole, and waits for a call of its scorer
-	scoring               // a call of its scorer is under way
-	finished              // its result is to be written
-	listed                // its result has a position
+	waiting  phase = iota // queued for an engine
+	running               // an attempt is in flight at an engine
+	unscored              // the text is complete and the scorer is to be called
+	scoring               // a scorer call is in flight
+	finished              // the result is not written yet
+	stored                // the result is written at its position
 )
 
 const (
-	// attemptPause is the pause before an item or its scorer's call is tried
-	// again after a failure that may pass at once.
-	attemptPause = 50 * time.Millisecond
-	// giveUpMargin is added to the time after which an item may be given up:
-	// instances' clocks may differ by seconds.
-	giveUpMargin = 10 * time.Second
+	// retryDelay is the delay before a generation or scorer call is repeated after a
+	// failure that may be short.
+	retryDelay = 50 * time.Millisecond
+	// clockSkewMargin is added to the maximum age of items: the clocks of instances may
+	// differ by seconds.
+	clockSkewMargin = 10 * time.Second
 )
 
-// ItemPolicy are what a submission's route asks of its items.
+// ItemPolicy is how a submission's route limits its items.
 type ItemPolicy struct {
-	MaxAttempts   int           // answers of 500 after which an item is given up
-	MaxAge        time.Duration // 0 for never
+	MaxAttempts   int           // responses with status 500 after which an item is given up
+	MaxAge        time.Duration // after which an item is given up; 0 for never
 	SingleVersion bool
 }
 
-// Run is the progress of a submission at the instance that owns it. It decides
-// what runs next and what an attempt's end means; it is not safe for concurrent
-// use.
+// Run is the state machine of a submission at its owner. It decides what runs next and
+// what the end of an attempt means. It does no I/O and is not safe for concurrent use.
 type Run struct {
 	spec    Spec
 	items   []item
-	results []Result // finished, in the order in which they are to be written
-	listed  int
+	results []Result // finished and not written, in the order in which they will be written
+	stored  int
 }
 
 type item struct {
-	phase     phase
-	notBefore time.Time
-	errors    int // answers of 500 to the generation
-	declined  int // answers of 500 to the scorer's call
-	text      []string
-	after     int // last event of the text
-	versions  []uint64
-	course    ItemTiming
+	phase            phase
+	notBefore        time.Time
+	generationErrors int // responses with status 500 to generation requests
+	scoringErrors    int // responses with status 500 to scorer calls
+	text             []string
+	lastEvent        int // ID of the last event of the text
+	versions         []uint64
+	timing           ItemTiming
 }
 
-// NewRun returns the run of s, of which the results given are written already
-// and the texts given are begun.
-func NewRun(s Spec, written []Result, begun []PartialText) *Run {
-	r := &Run{spec: s, items: make([]item, len(s.Items)), listed: len(written)}
+// NewRun returns the Run of s, whose results in written are stored already and whose
+// partial texts are continued.
+func NewRun(s Spec, written []Result, partials []PartialText) *Run {
+	r := &Run{spec: s, items: make([]item, len(s.Items)), stored: len(written)}
 	done := make(map[string]bool, len(written))
 	for _, w := range written {
 		done[w.Item] = true
 	}
-	texts := make(map[string]PartialText, len(begun))
-	for _, p := range begun {
+	texts := make(map[string]PartialText, len(partials))
+	for _, p := range partials {
 		texts[p.Item] = p
 	}
 	for i, it := range s.Items {
 		if done[it.ID] {
-			r.items[i].phase = listed
+			r.items[i].phase = stored
 			continue
 		}
 		p := texts[it.ID]
-		r.items[i].text, r.items[i].after, r.items[i].versions = p.Text, p.After, p.Versions
+		r.items[i].text, r.items[i].lastEvent, r.items[i].versions = p.Text, p.After, p.Versions
 	}
 	return r
 }
 
-// Partials returns the texts that are begun and have no result.
+// Partials returns the texts that have events and no result.
 func (r *Run) Partials() []PartialText {
 	var out []PartialText
 	for i, it := range r.items {
-		if it.after > 0 && it.phase != finished && it.phase != listed {
-			out = append(out, PartialText{Item: r.spec.Items[i].ID, Text: it.text, After: it.after, Versions: slices.Clone(it.versions)})
+		if it.lastEvent > 0 && it.phase != finished && it.phase != stored {
+			out = append(out, PartialText{Item: r.spec.Items[i].ID, Text: it.text, After: it.lastEvent, Versions: slices.Clone(it.versions)})
 		}
 	}
 	return out
 }
 
-// Waiting returns the items that want an engine at now: those first that have
-// a part of their text already, then those whose texts are expected to be the
-// longest. A step is as long as its longest texts, so that with fewer places at
-// engines than items they must not be the last to begin.
+// Waiting returns the items to be sent to an engine at now: first those that have a
+// part of their text, then by descending estimate of the text's length. A step takes as
+// long as its longest texts, so with fewer slots at engines than items these must not
+// start last.
 func (r *Run) Waiting(now time.Time) []int {
-	out := r.in(waiting, now)
+	out := r.inPhase(waiting, now)
 	slices.SortStableFunc(out, func(a, b int) int {
-		return cmp.Or(cmp.Compare(r.begun(b), r.begun(a)), cmp.Compare(r.spec.Items[b].Length, r.spec.Items[a].Length))
+		return cmp.Or(cmp.Compare(r.startedKey(b), r.startedKey(a)), cmp.Compare(r.spec.Items[b].Length, r.spec.Items[a].Length))
 	})
 	return out
 }
 
-func (r *Run) begun(i int) int { return min(r.items[i].after, 1) }
+func (r *Run) startedKey(i int) int { return min(r.items[i].lastEvent, 1) }
 
 // Unscored returns the items whose scorer is to be called at now.
-func (r *Run) Unscored(now time.Time) []int { return r.in(unscored, now) }
+func (r *Run) Unscored(now time.Time) []int { return r.inPhase(unscored, now) }
 
-func (r *Run) in(p phase, now time.Time) []int {
+func (r *Run) inPhase(p phase, now time.Time) []int {
 	var out []int
 	for i, it := range r.items {
 		if it.phase == p && !now.Before(it.notBefore) {
@@ -118,7 +117,8 @@
 	return out
 }
 
-// Started tells that item i, waiting or unscored, is under way from now on.
+// Started records that an attempt at item i, or a call of its scorer, has started. The
+// item must be waiting or unscored.
 func (r *Run) Started(i int, now time.Time) {
 	it := &r.items[i]
 	if it.phase != waiting {
@@ -126,72 +126,73 @@
 		return
 	}
 	it.phase = running
-	it.course.started(now)
+	it.timing.attemptStarted(now)
 }
 
-// Postpone keeps item i, waiting or unscored, from being tried before a time.
+// Postpone delays the next attempt at item i, or call of its scorer, until a time.
 func (r *Run) Postpone(i int, until time.Time) { r.items[i].notBefore = until }
 
-// LastEvent returns the last event of item i's text so far, and the weight
-// versions that made it.
+// LastEvent returns the ID of the last event of item i's text, and the weight versions
+// that produced the text.
 func (r *Run) LastEvent(i int) (event int, versions []uint64) {
-	return r.items[i].after, r.items[i].versions
+	return r.items[i].lastEvent, r.items[i].versions
 }
 
-// AttemptOutput is what an attempt at an item's text gave, or a part of it.
+// AttemptOutput is what an attempt at an item's text produced, or a part of it.
 type AttemptOutput struct {
 	Events   []Event
-	Versions []uint64 // that made Events, oldest first
+	Versions []uint64 // that produced Events, oldest first
 	Complete bool     // the text is complete
-	Status   int      // of an answer that was no text; 0 for none
+	Status   int      // HTTP status of a response that is not a text; 0 for none
 }
 
-// AddEvents tells of events that item i's attempt has given, while it goes on.
-func (r *Run) AddEvents(i int, p AttemptOutput, t ItemPolicy) {
+// AddEvents adds events that a running attempt at item i has produced.
+func (r *Run) AddEvents(i int, p AttemptOutput, policy ItemPolicy) {
 	if it := &r.items[i]; it.phase == running {
-		it.course.extended(len(p.Events))
-		it.extend(p, r.spec.MinVersion, t)
+		it.timing.eventsReceived(len(p.Events))
+		it.extend(p, r.spec.MinVersion, policy)
 	}
 }
 
-// AttemptEnded tells how an attempt at item i ended at now.
-func (r *Run) AttemptEnded(i int, p AttemptOutput, t ItemPolicy, now time.Time) {
+// AttemptEnded applies the end of an attempt at item i at now.
+func (r *Run) AttemptEnded(i int, p AttemptOutput, policy ItemPolicy, now time.Time) {
 	it := &r.items[i]
 	it.phase = waiting
-	it.course.extended(len(p.Events))
-	it.course.generated(now)
+	it.timing.eventsReceived(len(p.Events))
+	it.timing.attemptEnded(now)
 	switch p.Status {
 	case http.StatusUnprocessableEntity:
 		r.finish(i, Result{State: Dead}, now)
 		return
 	case http.StatusInternalServerError:
-		it.errors++
-		if it.errors >= t.MaxAttempts {
+		it.generationErrors++
+		if it.generationErrors >= policy.MaxAttempts {
 			r.finish(i, Result{State: Dead}, now)
 			return
 		}
 	}
-	whole := it.extend(p, r.spec.MinVersion, t) && p.Complete && it.after > 0
+	whole := it.extend(p, r.spec.MinVersion, policy) && p.Complete && it.lastEvent > 0
 	switch {
 	case whole && r.spec.Items[i].Scorer != nil:
 		it.phase = unscored
 	case whole:
 		r.finish(i, Result{State: Done}, now)
 	case len(p.Events) == 0:
-		it.notBefore = now.Add(attemptPause)
+		it.notBefore = now.Add(retryDelay)
 	}
 }
 
-// extend adds an attempt's events to the text and reports whether the text
-// stands. One that may not be delivered as it is, too old or of several
-// versions, is begun anew; what its attempt still gives does not follow on then.
-func (it *item) extend(p AttemptOutput, minVersion uint64, t ItemPolicy) bool {
+// extend adds an attempt's events to the text and reports whether the text is valid so
+// far. A text that must not be delivered, because one of its versions is too old or it
+// has several where the policy asks for one, is discarded and starts again; later
+// events of the same attempt do not continue it.
+func (it *item) extend(p AttemptOutput, minVersion uint64, policy ItemPolicy) bool {
 	for _, e := range p.Events {
-		if e.ID != it.after+1 {
+		if e.ID != it.lastEvent+1 {
 			return false
 		}
 		it.text = append(it.text, e.Data)
-		it.after = e.ID
+		it.lastEvent = e.ID
 	}
 	for _, v := range p.Versions {
 		if !slices.Contains(it.versions, v) {
@@ -200,23 +201,24 @@
 	}
 	slices.Sort(it.versions)
 	tooOld := len(it.versions) > 0 && it.versions[0] < minVersion
-	if tooOld || t.SingleVersion && len(it.versions) > 1 {
-		it.text, it.versions, it.after = nil, nil, 0
+	if tooOld || policy.SingleVersion && len(it.versions) > 1 {
+		it.text, it.versions, it.lastEvent = nil, nil, 0
 		return false
 	}
 	return true
 }
 
-// ScoreResult is what a call of a scorer gave.
+// ScoreResult is the outcome of a scorer call.
 type ScoreResult struct {
-	Score       string // the scorer's proof; empty if the call failed
-	Status      int    // of its answer; 0 for none
-	MaxAttempts int    // answers of 500 after which its item is given up
-	// Quarantined means that the call was not sent, as it crashes its service.
+	Score       string // returned by the scorer; empty if the call failed
+	Status      int    // HTTP status of the response; 0 for none
+	MaxAttempts int    // responses with status 500 after which the item is given up
+	// Quarantined means that the call was not sent, because it is quarantined for
+	// crashing the service.
 	Quarantined bool
 }
 
-// ScoringEnded tells how a call of item i's scorer ended.
+// ScoringEnded applies the end of a call of item i's scorer at now.
 func (r *Run) ScoringEnded(i int, s ScoreResult, now time.Time) {
 	it := &r.items[i]
 	it.phase = unscored
@@ -225,22 +227,23 @@
 		return
 	}
 	if s.Status == http.StatusInternalServerError {
-		it.declined++
-		if it.declined >= s.MaxAttempts {
+		it.scoringErrors++
+		if it.scoringErrors >= s.MaxAttempts {
 			r.finish(i, Result{State: Dead}, now)
 			return
 		}
 	}
-	it.notBefore = now.Add(attemptPause)
+	it.notBefore = now.Add(retryDelay)
 	if s.Quarantined {
-		it.notBefore = now.Add(quarantinePause)
+		it.notBefore = now.Add(quarantineRecheckDelay)
 	}
 }
 
-// GiveUp ends the items that are too old, given the age of the submission by
-// a clock that may be seconds off, and those whose route is gone.
-func (r *Run) GiveUp(age time.Duration, t ItemPolicy, routeGone bool, now time.Time) {
-	if !routeGone && (t.MaxAge == 0 || age < t.MaxAge+giveUpMargin) {
+// GiveUp gives up the items that are not in flight, if their route is gone or the
+// submission is older than the policy's maximum age. age is taken from a clock that may
+// be seconds off, hence clockSkewMargin.
+func (r *Run) GiveUp(age time.Duration, policy ItemPolicy, routeGone bool, now time.Time) {
+	if !routeGone && (policy.MaxAge == 0 || age < policy.MaxAge+clockSkewMargin) {
 		return
 	}
 	for i, it := range r.items {
@@ -252,7 +255,7 @@
 
 func (r *Run) finish(i int, res Result, now time.Time) {
 	it := &r.items[i]
-	it.course.FinishedAt = now
+	it.timing.FinishedAt = now
 	res.Item = r.spec.Items[i].ID
 	if res.State == Done {
 		res.Output, res.Versions = strings.Join(it.text, "\n"), it.versions
@@ -261,20 +264,21 @@
 	r.results = append(r.results, res)
 }
 
-// Unwritten returns the results that have no position yet, in order, and the
-// position of the first.
-func (r *Run) Unwritten() (position int, results []Result) { return r.listed, r.results }
+// Unwritten returns the results that are not written, in order, and the position of the
+// first.
+func (r *Run) Unwritten() (position int, results []Result) { return r.stored, r.results }
 
-// Written tells that the first n of the unwritten results have their positions.
+// Written records that the first n unwritten results are written.
 func (r *Run) Written(n int) {
 	r.results = slices.Delete(r.results, 0, n)
-	r.listed += n
+	r.stored += n
 }
 
 // Done reports whether every item's result is written.
-func (r *Run) Done() bool { return r.listed == len(r.items) }
+func (r *Run) Done() bool { return r.stored == len(r.items) }
 
-// Counts returns how many items wait for an engine, run, and have a result.
+// Counts returns how many items wait for an engine, are in flight at one, and have a
+// result.
 func (r *Run) Counts() (waits, runs, results int) {
 	for _, it := range r.items {
 		switch it.phase {
@@ -282,7 +286,7 @@
 			waits++
 		case running:
 			runs++
-		case finished, listed:
+		case finished, stored:
 			results++
 		}
 	}
--- a/pkg/submission/run_test.go
+++ b/pkg/submission/run_test.go
@@ -26,7 +26,7 @@
 	return out
 }
 
-func whole(item int) string {
+func fullText(item int) string {
 	var lines []string
 	for _, e := range events(item, 1, textEvents) {
 		lines = append(lines, e.Data)
@@ -34,17 +34,19 @@
 	return strings.Join(lines, "\n")
 }
 
-// attempt is one under way: the events that it gives follow on after begun.
+// attempt is an attempt in flight. Its events are those after the event with the ID
+// after.
 type attempt struct {
-	item, begun, given int
-	version            uint64
-	scoring            bool
+	item, after, lastEvent int
+	version                uint64
+	scoring                bool
 }
 
-// Attempts that end, break off, fail and span versions in any order, and owners
-// that follow each other with what was kept: each item has one result, a done one
-// has its whole text once with the versions that made it, none too old and only
-// one where that is asked, and an item is given up only after its tries.
+// Attempts end, break off, fail and span weight versions in any order, and owners take
+// over with the stored results and partial texts. Each item must have one result; a
+// finished one must have its whole text once and exactly the versions that produced it,
+// none below the minimum and only one where the policy asks for one. An item may be
+// given up only after its attempts are used up.
 func TestRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_800_000_000, 0)
@@ -57,81 +59,81 @@
 			}
 			spec.Items = append(spec.Items, it)
 		}
-		terms := submission.ItemPolicy{MaxAttempts: 3, SingleVersion: rapid.Bool().Draw(t, "single")}
+		policy := submission.ItemPolicy{MaxAttempts: 3, SingleVersion: rapid.Bool().Draw(t, "single")}
 		run := submission.NewRun(spec, nil, nil)
 		var written []submission.Result
-		flying := []*attempt{}
-		errors, declined := map[int]int{}, map[int]int{}
-		made := map[int][]uint64{} // version of each event of the text so far
+		inFlight := []*attempt{}
+		generationErrors, scoringErrors := map[int]int{}, map[int]int{}
+		producers := map[int][]uint64{} // version that produced each event of the text so far
 
 		end := func(t *rapid.T, a *attempt, p submission.AttemptOutput) {
-			flying = slices.DeleteFunc(flying, func(b *attempt) bool { return a == b })
-			run.AttemptEnded(a.item, p, terms, now)
+			inFlight = slices.DeleteFunc(inFlight, func(b *attempt) bool { return a == b })
+			run.AttemptEnded(a.item, p, policy, now)
 		}
 		take := func(t *rapid.T) {
 			if wait := run.Waiting(now); len(wait) > 0 {
 				i := wait[0]
 				after, _ := run.LastEvent(i)
 				if after == 0 {
-					made[i] = nil
+					producers[i] = nil
 				}
 				run.Started(i, now)
-				flying = append(flying, &attempt{item: i, begun: after, given: after, version: rapid.Uint64Range(2, 5).Draw(t, "version")})
+				inFlight = append(inFlight, &attempt{item: i, after: after, lastEvent: after, version: rapid.Uint64Range(2, 5).Draw(t, "version")})
 			}
 			if wait := run.Unscored(now); len(wait) > 0 {
 				run.Started(wait[0], now)
-				flying = append(flying, &attempt{item: wait[0], scoring: true})
+				inFlight = append(inFlight, &attempt{item: wait[0], scoring: true})
 			}
 		}
 		give := func(a *attempt, n int) submission.AttemptOutput {
-			to := min(a.given+n, textEvents)
-			p := submission.AttemptOutput{Events: events(a.item, a.given+1, to)}
-			if to > a.given {
+			to := min(a.lastEvent+n, textEvents)
+			p := submission.AttemptOutput{Events: events(a.item, a.lastEvent+1, to)}
+			if to > a.lastEvent {
 				p.Versions = []uint64{a.version}
 			}
 			for range p.Events {
-				made[a.item] = append(made[a.item], a.version)
+				producers[a.item] = append(producers[a.item], a.version)
 			}
-			a.given = to
+			a.lastEvent = to
 			return p
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"take": take,
 			"extend": func(t *rapid.T) {
-				if a := draw(t, flying, false); a != nil {
-					run.AddEvents(a.item, give(a, rapid.IntRange(1, 3).Draw(t, "n")), terms)
+				if a := drawAttempt(t, inFlight, false); a != nil {
+					run.AddEvents(a.item, give(a, rapid.IntRange(1, 3).Draw(t, "n")), policy)
 				}
 			},
 			"break": func(t *rapid.T) {
-				if a := draw(t, flying, false); a != nil {
+				if a := drawAttempt(t, inFlight, false); a != nil {
 					end(t, a, give(a, rapid.IntRange(0, 2).Draw(t, "n")))
 				}
 			},
 			"fail": func(t *rapid.T) {
-				if a := draw(t, flying, false); a != nil && a.given == a.begun {
-					errors[a.item]++
+				if a := drawAttempt(t, inFlight, false); a != nil && a.lastEvent == a.after {
+					generationErrors[a.item]++
 					end(t, a, submission.AttemptOutput{Status: http.StatusInternalServerError})
 				}
 			},
 			"finish": func(t *rapid.T) {
-				if a := draw(t, flying, false); a != nil {
+				if a := drawAttempt(t, inFlight, false); a != nil {
 					p := give(a, textEvents)
 					p.Complete = true
 					end(t, a, p)
 				}
 			},
 			"score": func(t *rapid.T) {
-				a := draw(t, flying, true)
+				a := drawAttempt(t, inFlight, true)
 				if a == nil {
 					return
 				}
-				flying = slices.DeleteFunc(flying, func(b *attempt) bool { return a == b })
+				inFlight = slices.DeleteFunc(inFlight, func(b *attempt) bool { return a == b })
 				s := submission.ScoreResult{MaxAttempts: 4, Status: rapid.SampledFrom([]int{0, 200, 500, 503}).Draw(t, "status")}
 				switch s.Status {
 				case 200:
 					s.Score = "proof"
 				case 500:
-					declined[a.item]++
+					scoringErrors[a.item]++
 				}
 				run.ScoringEnded(a.item, s, now)
 			},
@@ -139,28 +141,28 @@
 			"write": func(t *rapid.T) {
 				pos, results := run.Unwritten()
 				if pos != len(written) {
-					t.Fatalf("position %d after %d results", pos, len(written))
+					t.Fatalf("position of unwritten results = %d, want %d", pos, len(written))
 				}
 				n := rapid.IntRange(0, len(results)).Draw(t, "n")
 				written = append(written, results[:n]...)
 				run.Written(n)
 			},
-			"succeed": func(*rapid.T) { // another owner goes on with what was kept
-				begun := run.Partials()
-				run, flying = submission.NewRun(spec, written, begun), nil
+			"succeed": func(*rapid.T) { // another owner takes over with what is stored
+				partials := run.Partials()
+				run, inFlight = submission.NewRun(spec, written, partials), nil
 				for i := range spec.Items {
 					after, _ := run.LastEvent(i)
-					made[i] = made[i][:min(after, len(made[i]))]
+					producers[i] = producers[i][:min(after, len(producers[i]))]
 				}
 			},
-			"": func(t *rapid.T) { check(t, spec, written, terms, scored, errors, declined) },
+			"": func(t *rapid.T) { checkResults(t, spec, written, policy, scored, generationErrors, scoringErrors) },
 		})
 	})
 }
 
-func draw(t *rapid.T, flying []*attempt, scoring bool) *attempt {
+func drawAttempt(t *rapid.T, inFlight []*attempt, scoring bool) *attempt {
 	var of []*attempt
-	for _, a := range flying {
+	for _, a := range inFlight {
 		if a.scoring == scoring {
 			of = append(of, a)
 		}
@@ -171,56 +173,56 @@
 	return rapid.SampledFrom(of).Draw(t, "attempt")
 }
 
-func check(t *rapid.T, spec submission.Spec, written []submission.Result, terms submission.ItemPolicy, scored bool, errors, declined map[int]int) {
+func checkResults(t *rapid.T, spec submission.Spec, written []submission.Result, policy submission.ItemPolicy, scored bool, generationErrors, scoringErrors map[int]int) {
 	seen := map[string]bool{}
 	for _, r := range written {
 		if seen[r.Item] {
-			t.Fatalf("item %s has two results", r.Item)
+			t.Fatalf("item %s has two results, want one", r.Item)
 		}
 		seen[r.Item] = true
 		i := slices.IndexFunc(spec.Items, func(it submission.Item) bool { return it.ID == r.Item })
 		if r.State == submission.Dead {
-			if errors[i] < terms.MaxAttempts && declined[i] < 4 {
-				t.Fatalf("item %d given up after %d failures and %d of its scorer", i, errors[i], declined[i])
+			if generationErrors[i] < policy.MaxAttempts && scoringErrors[i] < 4 {
+				t.Fatalf("item %d given up after %d failed generations and %d failed scorer calls", i, generationErrors[i], scoringErrors[i])
 			}
 			continue
 		}
-		if r.Output != whole(i) || scored && r.Score == "" {
-			t.Fatalf("item %d: %+v", i, r)
+		if r.Output != fullText(i) || scored && r.Score == "" {
+			t.Fatalf("item %d: result = %+v, want the whole text, and a score if it has a scorer", i, r)
 		}
-		if len(r.Versions) == 0 || r.Versions[0] < spec.MinVersion || terms.SingleVersion && len(r.Versions) > 1 || !slices.IsSorted(r.Versions) {
-			t.Fatalf("item %d made by %v, at least %d", i, r.Versions, spec.MinVersion)
+		if len(r.Versions) == 0 || r.Versions[0] < spec.MinVersion || policy.SingleVersion && len(r.Versions) > 1 || !slices.IsSorted(r.Versions) {
+			t.Fatalf("item %d: versions = %v, want sorted, at least %d, one if single-version", i, r.Versions, spec.MinVersion)
 		}
 	}
 }
 
-// Replays a batch that has fewer places at engines than items: the longest
-// texts begin first, and those that are begun before all others.
-func TestLongTextsFirst(t *testing.T) {
+// With fewer slots at engines than items, items that have a part of their text start
+// first, then the longest texts.
+func TestWaitingPutsLongestTextsFirst(t *testing.T) {
 	spec := submission.Spec{Items: []submission.Item{{ID: "a", Length: 3}, {ID: "b", Length: 90}, {ID: "c"}, {ID: "d", Length: 20}}}
 	r := submission.NewRun(spec, nil, []submission.PartialText{{Item: "c", Text: []string{"x"}, After: 1}})
 	if got := r.Waiting(time.Now()); !slices.Equal(got, []int{2, 1, 3, 0}) {
-		t.Fatalf("order %v", got)
+		t.Fatalf("Waiting() = %v, want [2 1 3 0]", got)
 	}
 }
 
-// An item that is not done is given up when its submission is old enough by any
-// clock, and when its route is gone.
+// An item without a result is given up when its submission exceeds the maximum age even
+// by a clock that is seconds ahead, and when its route is gone.
 func TestGiveUp(t *testing.T) {
 	spec := submission.Spec{Items: []submission.Item{{ID: "a"}}}
-	terms := submission.ItemPolicy{MaxAttempts: 3, MaxAge: 40 * time.Second}
+	policy := submission.ItemPolicy{MaxAttempts: 3, MaxAge: 40 * time.Second}
 	r := submission.NewRun(spec, nil, nil)
-	r.GiveUp(45*time.Second, terms, false, time.Time{})
+	r.GiveUp(45*time.Second, policy, false, time.Time{})
 	if _, results := r.Unwritten(); len(results) != 0 {
-		t.Fatal("given up while clocks may disagree")
+		t.Fatal("item given up at 45 s, within the clock skew margin of its maximum age of 40 s")
 	}
-	r.GiveUp(51*time.Second, terms, false, time.Time{})
+	r.GiveUp(51*time.Second, policy, false, time.Time{})
 	if _, results := r.Unwritten(); len(results) != 1 || results[0].State != submission.Dead {
-		t.Fatalf("%v", results)
+		t.Fatalf("results = %+v, want one that is dead", results)
 	}
 	r = submission.NewRun(spec, nil, nil)
 	r.GiveUp(0, submission.ItemPolicy{}, true, time.Time{})
 	if _, results := r.Unwritten(); len(results) != 1 {
-		t.Fatal("kept without a route")
+		t.Fatal("item not given up after its route was removed")
 	}
 }
--- a/pkg/submission/runner.go
+++ b/pkg/submission/runner.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	// firstEventLimit is how long an engine may take to begin a text: its
-	// queue is short, since owners bound what they send.
-	firstEventLimit = 1500 * time.Millisecond
-	// eventGapLimit is how long a text may stand still; an engine takes tens of
-	// milliseconds for an event and a slow one some hundred. To go on elsewhere
-	// costs little: the engine there reads the text so far in milliseconds.
-	eventGapLimit = 700 * time.Millisecond
-	// FlushEvents and flushPeriod bound the events of a text that are not yet
-	// told to the owner's goroutine, and with it to a successor.
+	// firstEventTimeout bounds the time until an engine sends the first event of a
+	// text. The engine's queue is short, since owners bound what they send.
+	firstEventTimeout = 1500 * time.Millisecond
+	// eventTimeout bounds the time between events of a text. An engine takes tens of
+	// milliseconds for an event and a slow one some hundred. Moving to another engine
+	// costs little: it reads the text so far in milliseconds.
+	eventTimeout = 700 * time.Millisecond
+	// FlushEvents and flushPeriod bound the number and the age of the events that are
+	// not yet passed to the Run, and so would be lost to a successor.
 	FlushEvents = 6
 	flushPeriod = 250 * time.Millisecond
-	// progressPeriod is how often the texts so far are kept for a successor.
-	progressPeriod = 700 * time.Millisecond
-	// SlowEngineFactor is how many times the usual time an engine takes from which on
-	// a text goes on at another.
+	// progressSavePeriod is how often partial texts are stored for a successor.
+	progressSavePeriod = 700 * time.Millisecond
+	// SlowEngineFactor is the ratio of an engine's time per event to the usual one from
+	// which on a text moves to a faster engine.
 	SlowEngineFactor = 2
-	// roomPeriod is how often an owner looks for room at engines while items wait.
-	roomPeriod = 15 * time.Millisecond
-	// idlePeriod is how often it looks otherwise.
-	idlePeriod = 200 * time.Millisecond
-	// appendPause is the pause before results are written again after a failure,
-	// which doubles up to maxAppendPause so that a store in trouble is not pressed.
-	appendPause    = 50 * time.Millisecond
-	maxAppendPause = 150 * time.Millisecond
-	// quarantinePause is how soon an item in quarantine is looked at again: it may have
-	// been let out.
-	quarantinePause = 500 * time.Millisecond
-	// refusedPause is how long an engine that refused a text is left alone.
-	refusedPause = 100 * time.Millisecond
+	// capacityPollPeriod is how often an owner looks for free slots while items wait.
+	capacityPollPeriod = 15 * time.Millisecond
+	// idlePollPeriod is how often an owner looks for work to start while no items wait.
+	idlePollPeriod = 200 * time.Millisecond
+	// minAppendBackoff is the delay before a failed write of results is repeated. It
+	// doubles up to maxAppendBackoff, so as not to overload a failing store.
+	minAppendBackoff = 50 * time.Millisecond
+	maxAppendBackoff = 150 * time.Millisecond
+	// quarantineRecheckDelay is the time between checks whether a quarantined item was
+	// released.
+	quarantineRecheckDelay = 500 * time.Millisecond
+	// refusalBackoff is how long an engine that refused a text is sent no other.
+	refusalBackoff = 100 * time.Millisecond
 )
 
 // Config configures a Runner.
@@ -50,134 +50,137 @@
 	Repository Repository
 	Registry   *upstream.Registry
 	Generator  Generator
-	// Guard keeps items that crash engines from them; nil for none.
+	// Guard holds back items that crash engines; nil for none.
 	Guard *quarantine.Guard
-	// Score sends one call of a scorer.
+	// Score makes one scorer call.
 	Score func(ctx context.Context, c Call) ScoreResult
-	// ScorerLimit returns how many calls of c's scorer may be under way at once.
+	// ScorerLimit returns how many calls of c's scorer may be in flight at once.
 	ScorerLimit func(c Call) int
-	// Route returns the route in force for a host and path; known is false
-	// while no configuration is.
+	// Route returns the route for a host and path. known is false while no
+	// configuration is in force.
 	Route func(host, path string) (rt routetable.Route, ok, known bool)
-	// TargetVersion returns the newest version that is named of a model, 0 if none is.
+	// TargetVersion returns the newest target version of a model, 0 if it has none.
 	TargetVersion func(model string) uint64
-	// Priority returns the priority of a customer's items, if it has one; nil for none.
+	// Priority returns the priority of a customer's items, if the customer has one of
+	// its own; nil for none.
 	Priority func(customer string) option.Of[int]
-	// Rand returns a number drawn evenly from [0, 1).
+	// Rand returns a random number, uniform in [0, 1).
 	Rand func() float64
-	// OnEvent is told what happens; nil for nothing.
+	// OnEvent is called for each RunEvent; nil for none.
 	OnEvent func(RunEvent)
 }
 
-// RunEvent is something that happened to an item or a submission, for the log.
+// RunEvent is an event of an item or a submission, for log and metrics.
 type RunEvent struct {
 	What       string
 	Submission string
 	Item       string
-	Content    quarantine.Fingerprint // of an attempt that failed after it may have run
+	Content    quarantine.Fingerprint // set if the attempt failed and may have run
 	Upstream   string
 	Events     int
 	Status     int
 	Position   int
-	Waiting    int // items that wait for an engine
-	Running    int // items at one
+	Waiting    int // items queued for an engine
+	Running    int // items in flight at an engine
 	Err        error
 }
 
-// Runner runs one submission at the instance that owns it.
+// Runner runs one submission at its owner.
 type Runner struct {
 	cfg     Config
-	owned   HeadRow // without a fencing token once it is lost
+	head    HeadRow // with a zero fencing token once the submission is lost
 	spec    Spec
-	fencing uint64 // that the submission was claimed with
+	fencing uint64 // fencing token that the submission was claimed with
 	run     *Run
-	events  chan func(now time.Time)
+	updates chan func(now time.Time)
 	group   errgroup.Group
 
-	scoring   int // calls of scorers under way
-	appending bool
-	pause     time.Duration // before the next append, after a failure
-	keepAt    time.Time     // when progress is kept next
-	keeping   bool
-	before    uint64 // fencing token under which the owner before kept texts; 0 once they are deleted
-	batch     *Batch // not known to be written
+	scoring        int // scorer calls in flight
+	appending      bool
+	appendBackoff  time.Duration // delay before the next write of results after a failure
+	nextSaveAt     time.Time     // when partial texts are stored next
+	savingProgress bool
+	priorToken     uint64 // fencing token under which the previous owner stored partial texts; 0 once they are deleted
+	batch          *Batch // batch whose write failed or has an unknown outcome; nil for none
 
-	begunAt, endedAt time.Time
+	startedAt, endedAt time.Time
 
 	mu      sync.Mutex
 	results []Result
-	changed chan struct{} // closed when results grow
+	changed chan struct{} // closed when results are added
 }
 
-// NewRunner returns the Runner of a submission.
-func NewRunner(cfg Config, o HeadRow, s Spec, left PriorWork) *Runner {
+// NewRunner returns a Runner of submission s with head o, which continues prior.
+func NewRunner(cfg Config, o HeadRow, s Spec, prior PriorWork) *Runner {
 	if cfg.OnEvent == nil {
 		cfg.OnEvent = func(RunEvent) {}
 	}
 	if cfg.Priority == nil {
 		cfg.Priority = func(string) option.Of[int] { return option.Of[int]{} }
 	}
-	before := left.ProgressToken
-	if before == o.Fencing {
-		before = 0 // this instance's own, of before it adopted what it owned
+	priorToken := prior.ProgressToken
+	if priorToken == o.Fencing {
+		priorToken = 0 // stored by this instance itself, before it took the submission over again
 	}
-	return &Runner{cfg: cfg, owned: o, fencing: o.Fencing, spec: s, run: NewRun(s, left.Results, left.Partials), results: left.Results,
-		events: make(chan func(time.Time), len(s.Items)), changed: make(chan struct{}), pause: appendPause,
-		before: before}
+	return &Runner{cfg: cfg, head: o, fencing: o.Fencing, spec: s, run: NewRun(s, prior.Results, prior.Partials), results: prior.Results,
+		updates: make(chan func(time.Time), len(s.Items)), changed: make(chan struct{}), appendBackoff: minAppendBackoff,
+		priorToken: priorToken}
 }
 
-// Results returns the results written from position on, and a channel that is
-// closed when there are more.
+// Results returns the written results from position on, and a channel that is closed
+// when there are more.
 func (r *Runner) Results(position int) ([]Result, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.results[min(position, len(r.results)):], r.changed
 }
 
-// Run runs the submission until every result is written, it is no longer
-// owned (ErrLost), or ctx ends.
+// Run runs the submission until every result is written. It returns ErrNotOwner if the
+// instance does not own the submission any more, and ctx's error when ctx ends.
 func (r *Runner) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
-	r.begunAt = time.Now()
+	r.startedAt = time.Now()
 	defer func() {
 		cancel()
 		r.endedAt = time.Now()
-		_ = r.group.Wait() // its functions return nil
+		_ = r.group.Wait() // the group's functions return no errors
 	}()
 	for !r.run.Done() {
 		now := time.Now()
 		r.startAll(ctx, now)
-		if err := r.append(ctx); err != nil {
+		if err := r.appendResults(ctx); err != nil {
 			return err
 		}
-		r.keep(ctx, now)
-		period := idlePeriod
+		r.saveProgress(ctx, now)
+		period := idlePollPeriod
 		if waits, _, _ := r.run.Counts(); waits > 0 {
-			period = roomPeriod
+			period = capacityPollPeriod
 		}
-		if err := r.await(ctx, period); err != nil {
+		if err := r.applyUpdates(ctx, period); err != nil {
 			return err
 		}
 	}
 	return r.complete(ctx)
 }
 
-// Summary is what a run of a submission took, for the log.
+// Summary holds the times and attempts of a run, for the log.
 type Summary struct {
-	LastItem                ItemTiming // of the item that had its result last
+	LastItem                ItemTiming // of the item that got its result last
 	StartedAt, EndedAt      time.Time
-	Attempts, EmptyAttempts int // of all items, at engines
+	Attempts, EmptyAttempts int // generation attempts of all items, and those that produced no events
 }
 
-// Summary is called after Run has returned.
+// Summary returns the times and attempts. It must not be called before Run has
+// returned.
 func (r *Runner) Summary() Summary {
-	s := Summary{StartedAt: r.begunAt, EndedAt: r.endedAt}
+	s := Summary{StartedAt: r.startedAt, EndedAt: r.endedAt}
 	s.LastItem, s.Attempts, s.EmptyAttempts = r.run.LastFinished()
 	return s
 }
 
-// await applies what ends within period, all that has ended at once.
-func (r *Runner) await(ctx context.Context, period time.Duration) error {
+// applyUpdates waits up to period for an update and applies it with all others that are
+// due.
+func (r *Runner) applyUpdates(ctx context.Context, period time.Duration) error {
 	t := time.NewTimer(period)
 	defer t.Stop()
 	select {
@@ -185,12 +188,12 @@
 		return ctx.Err()
 	case <-t.C:
 		return nil
-	case apply := <-r.events:
+	case apply := <-r.updates:
 		apply(time.Now())
 	}
 	for {
 		select {
-		case apply := <-r.events:
+		case apply := <-r.updates:
 			apply(time.Now())
 		default:
 			return nil
@@ -198,25 +201,25 @@
 	}
 }
 
-// tell has the owner's goroutine apply f.
-func (r *Runner) tell(ctx context.Context, f func(now time.Time)) {
+// post passes f to the goroutine of Run, which calls it.
+func (r *Runner) post(ctx context.Context, f func(now time.Time)) {
 	select {
-	case r.events <- f:
+	case r.updates <- f:
 	case <-ctx.Done():
 	}
 }
 
-func terms(rt routetable.Route) ItemPolicy {
+func itemPolicy(rt routetable.Route) ItemPolicy {
 	return ItemPolicy{MaxAttempts: rt.MaxAttempts, MaxAge: rt.MaxAge, SingleVersion: rt.SingleVersion}
 }
 
-// startAll starts what may run now.
+// startAll starts the generations and scorer calls that may run now.
 func (r *Runner) startAll(ctx context.Context, now time.Time) {
 	rt, ok, known := r.cfg.Route(r.spec.Host, r.spec.Path)
 	if !known {
 		return
 	}
-	r.run.GiveUp(now.Sub(r.owned.AcceptedAt), terms(rt), !ok, now)
+	r.run.GiveUp(now.Sub(r.head.AcceptedAt), itemPolicy(rt), !ok, now)
 	if !ok {
 		return
 	}
@@ -224,38 +227,38 @@
 	r.startScoring(ctx, now)
 }
 
-// startWaiting starts the items that find room at an engine.
+// startWaiting starts waiting items while engines have free slots.
 func (r *Runner) startWaiting(ctx context.Context, rt routetable.Route, now time.Time) {
 	for _, i := range r.run.Waiting(now) {
 		if r.cfg.Guard.Check(r.generation(i, 0).content(r.spec.Model), now) != nil {
-			r.run.Postpone(i, now.Add(quarantinePause))
+			r.run.Postpone(i, now.Add(quarantineRecheckDelay))
 			continue
 		}
-		if !r.start(ctx, i, rt, now) {
+		if !r.startItem(ctx, i, rt, now) {
 			return
 		}
 	}
 }
 
-// generation returns what is asked of an engine for item i, to go on after an event.
+// generation returns the request for item i's text, to continue after the given event.
 func (r *Runner) generation(i, after int) GenerateRequest {
 	it := r.spec.Items[i]
 	return GenerateRequest{ID: it.ID, Host: r.spec.Host, Path: it.Path, Header: it.Header, Body: it.Body, After: after,
 		Customer: r.spec.Customer, Priority: r.cfg.Priority(r.spec.Customer)}
 }
 
-// startScoring starts calls of scorers for texts that are whole.
+// startScoring calls the scorers of complete texts.
 func (r *Runner) startScoring(ctx context.Context, now time.Time) {
 	for _, i := range r.run.Unscored(now) {
 		if r.scoring >= r.cfg.ScorerLimit(*r.spec.Items[i].Scorer) {
-			break // more would only wait at the scorers, on connections of their own
+			break // further calls would only queue at the scorer, each on a connection of its own
 		}
 		r.scoring++
 		r.run.Started(i, now)
 		r.group.Go(func() error {
 			s := r.cfg.Score(ctx, *r.spec.Items[i].Scorer)
 			r.cfg.OnEvent(RunEvent{What: "scored", Submission: r.spec.ID, Item: r.spec.Items[i].ID, Status: s.Status})
-			r.tell(ctx, func(now time.Time) {
+			r.post(ctx, func(now time.Time) {
 				r.scoring--
 				r.run.ScoringEnded(i, s, now)
 			})
--- a/pkg/submission/submission.go
+++ b/pkg/submission/submission.go
@@ -1,7 +1,7 @@
-// Package submission keeps and runs batch submissions: many requests that are
-// handed over at once, run later, and whose results are read by position. A
-// submission and its results lie in the platform's store; the instance that
-// owns it runs its items, and any instance serves its readers.
+// Package submission stores and runs batch submissions: many requests that are sent at
+// once, run later, and whose results are read by position. A submission and its results
+// are kept in the platform's store. The instance that owns it runs its items, and any
+// instance serves its results.
 package submission
 
 import (
@@ -22,31 +22,32 @@
 	"github.com/zinnialadder/zinnialadder/pkg/upstream"
 )
 
-// Spec is a submission as its sender handed it over.
+// Spec is a submission as its sender sent it.
 type Spec struct {
 	ID         string `json:"id"`
 	Host       string `json:"host"`
 	Path       string `json:"path"`
 	Model      string `json:"model,omitempty"`
-	Customer   string `json:"customer,omitempty"` // whom it belongs to; empty for nobody
-	MinVersion uint64 `json:"min_version"`        // oldest weight version that may make its samples
-	Step       int    `json:"step"`               // of the trainer
+	Customer   string `json:"customer,omitempty"` // customer that the submission belongs to; empty for none
+	MinVersion uint64 `json:"min_version"`        // oldest weight version that may produce its samples
+	Step       int    `json:"step"`               // training step
 	Desired    int    `json:"desired"`            // complete groups that the trainer waits for
 	Items      []Item `json:"items"`
 }
 
-// Item is one request of a submission. Its path and header are sent as they are.
+// Item is one request of a submission. Path and Header are sent to the engine
+// unchanged.
 type Item struct {
 	ID     string            `json:"id"`
 	Path   string            `json:"path"`
 	Header map[string]string `json:"header,omitempty"`
 	Body   []byte            `json:"body,omitempty"`
 	Group  string            `json:"group,omitempty"` // items of a group share their prompt
-	// Affinity names the prompt that the item shares with others; empty for none.
+	// Affinity identifies the prompt that the item shares with others; empty for none.
 	Affinity string `json:"affinity,omitempty"`
 	Scorer   *Call  `json:"scorer,omitempty"` // scores the item's text
-	// Length is its sender's estimate of how long its text will be; 0 for none.
-	// It orders items and decides nothing else, as it is often far off.
+	// Length is the sender's estimate of the text's length; 0 for none. It only orders
+	// items, as it is often far off.
 	Length int `json:"length,omitempty"`
 }
 
@@ -58,8 +59,8 @@
 	Body []byte `json:"body,omitempty"`
 }
 
-// EstimatedLength returns the estimated length of all texts of s, counting one for texts
-// without an estimate.
+// EstimatedLength returns the sum of the items' length estimates. An item without an
+// estimate counts as 1.
 func (s Spec) EstimatedLength() int {
 	n := 0
 	for _, it := range s.Items {
@@ -68,75 +69,75 @@
 	return n
 }
 
-// State is where an item's result stands.
+// State is the outcome of an item.
 type State string
 
-// The states of results.
+// The outcomes of items.
 const (
-	Done State = "done" // the whole text, scored if it has a scorer
-	Dead State = "dead" // given up
+	Done State = "done" // the text is complete, and scored if the item has a scorer
+	Dead State = "dead" // the item was given up
 )
 
 // Result is the final result of an item.
 type Result struct {
-	Item     string   `json:"item"` // its ID
+	Item     string   `json:"item"` // ID of the item
 	State    State    `json:"state"`
-	Output   string   `json:"output,omitempty"` // the data of its events, one a line
+	Output   string   `json:"output,omitempty"` // data of the text's events, one per line
 	Versions []uint64 `json:"versions,omitempty"`
 	Score    string   `json:"score,omitempty"`
 }
 
-// Head is the row of a submission. Its row version fences its owner: each
-// change of owner, and the submission's end, raises it, and results are only
-// written by who knows it.
+// Head is the value of a submission's row. The row's version is the owner's fencing
+// token: each change of owner, and the end of the submission, raises it, and results
+// are written on condition that it has not changed.
 type Head struct {
 	ID              string    `json:"id"`
 	Host            string    `json:"host"`
 	Path            string    `json:"path"`
 	Model           string    `json:"model,omitempty"`
-	Customer        string    `json:"customer,omitempty"` // whom it belongs to; empty for nobody
+	Customer        string    `json:"customer,omitempty"` // customer that the submission belongs to; empty for none
 	MinVersion      uint64    `json:"min_version"`
 	Step            int       `json:"step"`
-	Total           int       `json:"total"` // items
-	EstimatedLength int       `json:"work"`  // estimated length of all texts
+	Total           int       `json:"total"` // number of items
+	EstimatedLength int       `json:"work"`  // see Spec.EstimatedLength
 	AcceptedAt      time.Time `json:"accepted_at"`
-	Owner           string    `json:"owner"`   // instance that is to run it; empty if it gave it up
-	Claimed         bool      `json:"claimed"` // the owner runs it
-	// ProgressToken is the fencing token under which the last owner kept its
-	// progress, where it gave the submission up.
+	Owner           string    `json:"owner"`   // instance that runs it, or is to; empty if the owner gave it up
+	Claimed         bool      `json:"claimed"` // the owner has started to run it
+	// ProgressToken is the fencing token under which the last owner stored partial
+	// texts before it gave the submission up; 0 otherwise.
 	ProgressToken uint64 `json:"progress,omitempty"`
-	Ended         bool   `json:"ended"`    // by its sender; what runs is cancelled
+	Ended         bool   `json:"ended"`    // ended by its sender; requests in flight are cancelled
 	Complete      bool   `json:"complete"` // every result is written
 }
 
-// BelongsTo reports whether a customer may read and end the submission. One that
-// belongs to nobody is open to all, as its route is.
+// BelongsTo reports whether a customer may read and end the submission. A submission
+// without a customer is open to all callers, as its route is.
 func (h Head) BelongsTo(customer string) bool { return h.Customer == "" || h.Customer == customer }
 
 // Open reports whether items of the submission may still run.
 func (h Head) Open() bool { return !h.Ended && !h.Complete }
 
-// Errors of submissions.
+// Errors of a Repository and of the callers that look items up.
 var (
 	ErrNotFound         = errors.New("submission: no such submission")
-	ErrStoreUnavailable = errors.New("submission: the store cannot be asked")
+	ErrStoreUnavailable = errors.New("submission: store unavailable")
 	ErrItemNotFound     = errors.New("submission: no such item")
 )
 
-// ErrVersionMismatch is a forward.ErrNotRun: the engine's weights have another
-// version than the request asked for.
-var ErrVersionMismatch = fmt.Errorf("%w: the engine has another weight version", forward.ErrNotRun)
+// ErrVersionMismatch is a forward.ErrNotRun: the engine holds another weight version
+// than the request asked for.
+var ErrVersionMismatch = fmt.Errorf("%w: the engine holds another weight version", forward.ErrNotRun)
 
-// Tables of submissions in the platform's store.
+// Tables of submissions in the platform's store, and the prefix of their objects.
 const (
 	HeadsTable   = "submissions"
 	ResultsTable = "results"
 	objectPrefix = "submission-"
 )
 
-// specName is the name of the object that holds a customer's submission. Those of
-// different customers with one ID are different objects, so that none replaces
-// another's.
+// specName is the name of the object that holds a customer's submission. It depends on
+// the customer, so that submissions of different customers with the same ID do not
+// overwrite each other.
 func specName(id, customer string) string {
 	name := objectPrefix + id
 	if customer == "" {
@@ -146,9 +147,9 @@
 	return name + "-of-" + hex.EncodeToString(sum[:8])
 }
 
-// partitions is how many partitions submissions are spread over. One takes 200
-// transactions a second, and a submission asks for about ten; a reader of all
-// heads makes one call for each.
+// partitions is the number of store partitions that submissions are spread over. One
+// takes 200 transactions a second, and a submission makes about ten; reading all heads
+// takes one call per partition.
 const partitions = 8
 
 func partition(id string) string {
@@ -164,7 +165,8 @@
 
 func resultsPrefix(id string) string { return ResultsTable + "/" + partition(id) + "/" + id + "/" }
 
-// positionDigits is enough for the items of any submission.
+// positionDigits is the width of positions in keys, enough for the items of any
+// submission.
 const positionDigits = 6
 
 func resultKey(id string, position int) string {
@@ -182,15 +184,16 @@
 	Version uint64 // weight version from this event on; 0 if it has not changed
 }
 
-// Stream is the text of a generation as it is made.
+// Stream is a generated text while the engine sends it.
 type Stream interface {
-	// Next returns the next event, io.EOF after the whole text, or an error if
-	// the stream broke off.
+	// Next returns the next event, io.EOF after the end of the text, or an error if the
+	// stream broke off.
 	Next() (Event, error)
-	// Version returns the weight version that the stream began under, or 0.
+	// Version returns the weight version at the start of the stream, 0 if it is not
+	// known.
 	Version() uint64
-	// Last returns the last event that Next returned, or the one that the
-	// generation went on after.
+	// Last returns the ID of the last event that Next returned, or that of the event
+	// after which the request asked to continue.
 	Last() int
 	Close()
 }
@@ -202,20 +205,20 @@
 	Path   string
 	Header map[string]string
 	Body   []byte
-	After  int // go on after this event; 0 to begin
+	After  int // continue after the event with this ID; 0 for the whole text
 	// Version is the weight version that the engine must hold; 0 for any.
 	Version  uint64
 	Customer string
 	Priority option.Of[int] // as in forward.Request
 }
 
-// content returns what identifies g, which asks for a text of a model, however often
-// it is asked for.
+// content returns what identifies g, a request for a text of model, in each of its
+// attempts.
 func (g GenerateRequest) content(model string) quarantine.Content {
 	return quarantine.Content{Method: http.MethodPost, Host: g.Host, URI: g.Path, Model: model, Body: g.Body}
 }
 
-// StatusError is an engine's answer that is not a text.
+// StatusError is an engine's response that is not a text.
 type StatusError struct {
 	Status int
 	Load   *upstream.Load
@@ -225,8 +228,8 @@
 	return "submission: engine answered " + strconv.Itoa(e.Status) + " " + http.StatusText(e.Status)
 }
 
-// Generator asks engines for texts. Its errors are those of forward.Transport,
-// or a *StatusError.
+// Generator requests texts from engines. Its errors are those of forward.Transport, or
+// a *StatusError.
 type Generator interface {
 	Generate(ctx context.Context, to upstream.Entry, g GenerateRequest) (Stream, *upstream.Load, error)
 }
