--- a/pkg/usage/billing.go
+++ b/pkg/usage/billing.go
@@ -6,93 +6,97 @@
 )
 
 const (
-	// maxBehind is how old a window may be and still be reported: one that nobody
-	// could report for so long is missed.
-	maxBehind = 10 * time.Minute
-	// firstPause and maxPause bound the pause before a report that was not accepted
-	// is sent again, which doubles.
-	firstPause = 400 * time.Millisecond
-	maxPause   = 3 * time.Second
-	// RetainedReports is how many reports stay in the store, for operators.
+	// maxReportAge is how long after its end a window is still reported. A window that no
+	// instance could report for so long is skipped.
+	maxReportAge = 10 * time.Minute
+	// minBackoff and maxBackoff bound the delay before a report that was not accepted
+	// is sent again. The delay doubles.
+	minBackoff = 400 * time.Millisecond
+	maxBackoff = 3 * time.Second
+	// RetainedReports is how many sent reports stay in the store, for operators.
 	RetainedReports = 60
 )
 
-// Reporter is what the holder of the duty knows of the windows to report. It does no
-// I/O. The zero Reporter knows nothing yet.
+// Reporter is the state machine of the lease holder that reports usage: it decides
+// which window to finalize, which report to send and which to delete. It does no I/O.
+// The zero Reporter has no reports; Restore must be called first.
 type Reporter struct {
 	Schedule Schedule
 
-	next   Window // the first that is not fixed
-	unsent []Report
-	sent   []Report
-	pause  time.Duration
-	sendAt time.Time // the next call, not before
+	next    Window // first window without a finalized report
+	unsent  []Report
+	sent    []Report
+	backoff time.Duration
+	sendAt  time.Time // earliest time of the next send
 }
 
-// Restore takes up what holders before have left in the store. begunAt is when this
-// instance started, which counts where nothing was ever reported.
-func (b *Reporter) Restore(left []Report, begunAt, now time.Time) {
-	b.unsent, b.sent = nil, nil
-	b.next = b.Schedule.WindowAt(begunAt)
-	for _, r := range left {
-		b.next = r.Window + 1
-		if r.SentAt.IsZero() && now.Sub(b.Schedule.End(r.Window)) < maxBehind {
-			b.unsent = append(b.unsent, r)
+// Restore takes over the reports that previous lease holders stored, oldest first.
+// startedAt is when this instance started: where no report is stored, the first window
+// to be reported is the one that contains startedAt.
+func (rp *Reporter) Restore(stored []Report, startedAt, now time.Time) {
+	rp.unsent, rp.sent = nil, nil
+	rp.next = rp.Schedule.WindowAt(startedAt)
+	for _, r := range stored {
+		rp.next = r.Window + 1
+		if r.SentAt.IsZero() && now.Sub(rp.Schedule.End(r.Window)) < maxReportAge {
+			rp.unsent = append(rp.unsent, r)
 		} else {
-			b.sent = append(b.sent, r)
+			rp.sent = append(rp.sent, r)
 		}
 	}
-	b.next = max(b.next, b.Schedule.WindowAt(now.Add(-maxBehind)))
-	b.pause, b.sendAt = 0, time.Time{}
+	rp.next = max(rp.next, rp.Schedule.WindowAt(now.Add(-maxReportAge)))
+	rp.backoff, rp.sendAt = 0, time.Time{}
 }
 
-// ToClose returns the window whose counts are to be added up and fixed at now, if
-// there is one.
-func (b *Reporter) ToClose(reachedSince, now time.Time) (Window, bool) {
-	return b.next, !now.Before(b.Schedule.CloseAt(b.next, reachedSince))
+// ToClose returns the next window without a report, and whether its counts are to be
+// added up and finalized at now. reachableSince is as in Schedule.CloseAt.
+func (rp *Reporter) ToClose(reachableSince, now time.Time) (Window, bool) {
+	return rp.next, !now.Before(rp.Schedule.CloseAt(rp.next, reachableSince))
 }
 
-// Finalized takes the report of the next window as it is fixed.
-func (b *Reporter) Finalized(r Report) {
-	b.next = max(b.next, r.Window+1)
+// Finalized adds the finalized report of a window.
+func (rp *Reporter) Finalized(r Report) {
+	rp.next = max(rp.next, r.Window+1)
 	if r.SentAt.IsZero() {
-		b.unsent = append(b.unsent, r)
+		rp.unsent = append(rp.unsent, r)
 	} else {
-		b.sent = append(b.sent, r)
+		rp.sent = append(rp.sent, r)
 	}
 }
 
-// ToSend returns the report to send at now, if there is one: the oldest.
-func (b *Reporter) ToSend(now time.Time) (Report, bool) {
-	if len(b.unsent) == 0 || now.Before(b.sendAt) {
+// ToSend returns the report to be sent at now, the first in the queue, if there is one.
+func (rp *Reporter) ToSend(now time.Time) (Report, bool) {
+	if len(rp.unsent) == 0 || now.Before(rp.sendAt) {
 		return Report{}, false
 	}
-	return b.unsent[0], true
+	return rp.unsent[0], true
 }
 
-// SendEnded tells how the call for a report ended at at. One that was not accepted is
-// sent again after a pause, behind others.
-func (b *Reporter) SendEnded(r Report, accepted bool, at time.Time) {
-	b.unsent = slices.DeleteFunc(b.unsent, func(u Report) bool { return u.Window == r.Window })
+// SendEnded applies the outcome of a call that ended at the given time. A report that
+// was not accepted is sent again after a delay and after the others, unless its window
+// is older than maxReportAge.
+func (rp *Reporter) SendEnded(r Report, accepted bool, at time.Time) {
+	rp.unsent = slices.DeleteFunc(rp.unsent, func(u Report) bool { return u.Window == r.Window })
 	if accepted {
-		b.sent = append(b.sent, r)
-		b.pause, b.sendAt = 0, at
+		rp.sent = append(rp.sent, r)
+		rp.backoff, rp.sendAt = 0, at
 		return
 	}
-	if at.Sub(b.Schedule.End(r.Window)) < maxBehind {
-		b.unsent = append(b.unsent, r)
+	if at.Sub(rp.Schedule.End(r.Window)) < maxReportAge {
+		rp.unsent = append(rp.unsent, r)
 	}
-	b.pause = min(max(2*b.pause, firstPause), maxPause)
-	b.sendAt = at.Add(b.pause)
+	rp.backoff = min(max(2*rp.backoff, minBackoff), maxBackoff)
+	rp.sendAt = at.Add(rp.backoff)
 }
 
-// ToDelete returns the reports that need not be kept any more, and forgets them.
-func (b *Reporter) ToDelete() []Report {
-	n := len(b.sent) - RetainedReports
+// ToDelete returns the sent reports in excess of RetainedReports and removes them from
+// the Reporter.
+func (rp *Reporter) ToDelete() []Report {
+	n := len(rp.sent) - RetainedReports
 	if n <= 0 {
 		return nil
 	}
-	old := slices.Clone(b.sent[:n])
-	b.sent = b.sent[n:]
+	old := slices.Clone(rp.sent[:n])
+	rp.sent = rp.sent[n:]
 	return old
 }
--- a/pkg/usage/ledger.go
+++ b/pkg/usage/ledger.go
@@ -13,39 +13,41 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// Tables of the counts in the platform's store.
+// Tables of usage in the platform's store.
 const (
-	// TalliesTable has a row for each instance and window, a partition a window.
+	// TalliesTable has a row for each start of an instance and window. Each window is a
+	// partition.
 	TalliesTable = "usage"
-	// ReportsTable has a row for each window whose counts are fixed.
+	// ReportsTable has a row for each finalized window.
 	ReportsTable = "usage_reports"
 )
 
-// Store is the part of the platform's store that is needed.
+// Store is the part of the platform's store that a Ledger needs.
 type Store interface {
 	platform.Table
 	platform.Scanner
 }
 
-// Ledger keeps counts in the store.
+// Ledger reads and writes tallies and reports in the store. Its errors are those of the
+// store, or decode errors.
 type Ledger struct{ Store Store }
 
-// Report is what is reported of a window. Its counts are never changed.
+// Report is the usage report of a window. Its counts never change.
 type Report struct {
 	Window      Window    `json:"window"`
 	Counts      Counts    `json:"counts"`
 	FinalizedAt time.Time `json:"fixed_at"`
-	FinalizedBy string    `json:"fixed_by"` // instance
-	Tallies     int       `json:"tallies"`  // instances that had told counts
-	// SentAt is when it was accepted; zero if that is not known.
+	FinalizedBy string    `json:"fixed_by"` // start ID of the instance
+	Tallies     int       `json:"tallies"`  // rows that the counts were added up from
+	// SentAt is when the report was accepted; zero if that is not known.
 	SentAt time.Time `json:"sent_at,omitzero"`
 
-	Version uint64 `json:"-"` // of its row
+	Version uint64 `json:"-"` // of the report's row
 }
 
 func tallyPrefix(w Window) string { return TalliesTable + "/" + strconv.FormatInt(int64(w), 10) + "/" }
 
-// ReportsPrefix covers the keys of reports, which are in order of window.
+// ReportsPrefix is the key prefix of reports. Their keys are in order of window.
 func ReportsPrefix() string { return ReportsTable + "//" }
 
 func reportKey(w Window) string { return fmt.Sprintf("%s%015d", ReportsPrefix(), w) }
@@ -53,11 +55,12 @@
 // scanRows is how many rows are read in one call.
 const scanRows = 500
 
-// WriteTally writes what an instance's start has counted in a window. It returns the
-// version of the row and whether this holds the tally: after a conflict it may hold
-// an earlier state, which is written over next.
-func (l Ledger) WriteTally(ctx context.Context, start string, t Tally) (version uint64, holds bool, err error) {
-	op, err := platform.Put(tallyPrefix(t.Window)+start, t.Version, t.Counts)
+// WriteTally writes what an instance has counted in a window since the start startID.
+// It returns the row's version, and whether the row holds t: after a conflict it may
+// hold an earlier state of the tally, to be overwritten by the next call with the
+// version returned.
+func (l Ledger) WriteTally(ctx context.Context, startID string, t Tally) (version uint64, current bool, err error) {
+	op, err := platform.Put(tallyPrefix(t.Window)+startID, t.Version, t.Counts)
 	if err != nil {
 		return 0, false, err
 	}
@@ -72,13 +75,13 @@
 	return rows[0].Version, true, nil
 }
 
-// Sum is the counts of a window by all instances that have told of it.
+// Sum is the total of a window over all tallies in the store.
 type Sum struct {
 	Counts Counts
-	Rows   []platform.Row // that tell them
+	Rows   []platform.Row // the tallies
 }
 
-// Sum adds up what has been told of w.
+// Sum adds up the stored tallies of w.
 func (l Ledger) Sum(ctx context.Context, w Window) (Sum, error) {
 	rows, err := l.scan(ctx, tallyPrefix(w))
 	if err != nil {
@@ -88,7 +91,7 @@
 	for _, row := range rows {
 		var c Counts
 		if err := json.Unmarshal(row.Value, &c); err != nil {
-			return Sum{}, fmt.Errorf("usage: row %s: %w", row.Key, err)
+			return Sum{}, fmt.Errorf("usage: decode tally %s: %w", row.Key, err)
 		}
 		sum.Counts.Add(c)
 	}
@@ -111,8 +114,8 @@
 	}
 }
 
-// Finalize fixes the report of a window, unless it is fixed already. It returns the one
-// that is.
+// Finalize stores the report of a window unless one is stored already. It returns the
+// stored one.
 func (l Ledger) Finalize(ctx context.Context, r Report) (Report, error) {
 	op, err := platform.Put(reportKey(r.Window), 0, r)
 	if err != nil {
@@ -130,7 +133,7 @@
 	return r, nil
 }
 
-// MarkSent writes down that a report was accepted at at.
+// MarkSent stores that a report was accepted at the given time.
 func (l Ledger) MarkSent(ctx context.Context, r Report, at time.Time) error {
 	r.SentAt = at
 	op, err := platform.Put(reportKey(r.Window), r.Version, r)
@@ -140,16 +143,16 @@
 	_, err = l.Store.Commit(ctx, op)
 	var ce *platform.ConflictError
 	if errors.As(err, &ce) {
-		return nil // another holder has sent it too, and written so
+		return nil // another lease holder has sent the report too and stored that
 	}
 	return err
 }
 
-// DecodeReport reads a Report from its row.
+// DecodeReport decodes a Report from its row.
 func DecodeReport(row platform.Row) (Report, error) {
 	var r Report
 	if err := json.Unmarshal(row.Value, &r); err != nil {
-		return Report{}, fmt.Errorf("usage: row %s: %w", row.Key, err)
+		return Report{}, fmt.Errorf("usage: decode report %s: %w", row.Key, err)
 	}
 	if r.Counts == nil {
 		r.Counts = Counts{}
@@ -158,7 +161,7 @@
 	return r, nil
 }
 
-// Reports returns the reports that the store holds, the oldest window first.
+// Reports returns all stored reports, oldest window first.
 func (l Ledger) Reports(ctx context.Context) ([]Report, error) {
 	rows, err := l.scan(ctx, ReportsPrefix())
 	if err != nil {
@@ -176,11 +179,12 @@
 	return out, nil
 }
 
-// maxDeletes is how many rows one call deletes.
+// maxDeletes is how many rows one transaction deletes.
 const maxDeletes = 100
 
-// DeleteTallies deletes the tallies of a window that has been reported. One that was written
-// again meanwhile stays, with those of its call: it tells of counts that came too late.
+// DeleteTallies deletes the tallies of a window that has been reported. If one of them
+// was written again meanwhile, the rows of its transaction stay, as evidence of counts
+// that came too late.
 func (l Ledger) DeleteTallies(ctx context.Context, rows []platform.Row) error {
 	for chunk := range slices.Chunk(rows, maxDeletes) {
 		ops := make([]platform.Op, len(chunk))
@@ -195,7 +199,6 @@
 	return nil
 }
 
-// DeleteReports deletes reports.
 func (l Ledger) DeleteReports(ctx context.Context, reports []Report) error {
 	rows := make([]platform.Row, len(reports))
 	for i, r := range reports {
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -1,7 +1,7 @@
-// Package usage counts, by customer, the requests that upstreams begin to run in
-// each window of time, keeps the counts in the platform's store, and decides when
-// a window is closed. What is reported of a window is fixed in a row before it is
-// first sent, so that whoever sends it, then or later, sends the same.
+// Package usage counts, by customer, the requests that upstreams begin to run in each
+// usage window, stores the counts in the platform's store, and decides when a window is
+// closed. The report of a window is finalized in a row before it is first sent, so that
+// all lease holders that send it send the same.
 package usage
 
 import (
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// Window is the number of a window of time: window k begins k times the windows'
-// length after the start of 1970.
+// Window is the number of a usage window: window k begins k times the window length
+// after the Unix epoch.
 type Window int64
 
-// Counts are how many requests began, by customer.
+// Counts is the number of requests begun, by customer.
 type Counts map[string]int
 
 // Add adds other to c.
@@ -24,50 +24,52 @@
 	}
 }
 
-// Schedule divides time into windows and says when their reports are due.
+// Schedule divides time into windows and gives the times at which their reports are
+// due.
 type Schedule struct {
 	Length      time.Duration // of a window
 	ReportDelay time.Duration // a report is due this long after its window's end
 }
 
-// WindowAt returns the window that t is in.
+// WindowAt returns the window that contains t.
 func (c Schedule) WindowAt(t time.Time) Window { return Window(t.UnixNano() / int64(c.Length)) }
 
 // End returns when w ends.
 func (c Schedule) End(w Window) time.Time { return time.Unix(0, (int64(w)+1)*int64(c.Length)) }
 
-// Due returns when the report of w is due.
+// Due returns the time at which the report of w is due.
 func (c Schedule) Due(w Window) time.Time { return c.End(w).Add(c.ReportDelay) }
 
 const (
-	// settleTime is how long after a window's end instances go on telling of it: a
-	// request is counted when it is answered, which takes 2 s at the most where
-	// callers wait no longer, and told within TellPeriod.
-	settleTime = 3300 * time.Millisecond
-	// returnTime is how long instances take to tell what they could not while the
-	// store was away.
-	returnTime = 2 * time.Second
-	// sendTime is what is left to send a report before it is due, or it would be
-	// late for sure.
-	sendTime = 2500 * time.Millisecond
-	// TallyWritePeriod is how often an instance tells counts that have changed: what it
-	// has not told is lost when it is killed.
+	// settleDelay is how long after a window's end instances still write counts of it:
+	// a request is counted when it is answered, which takes at most 2 s where callers
+	// wait no longer, and written within TallyWritePeriod.
+	settleDelay = 3300 * time.Millisecond
+	// recoveryDelay is how long instances take to write the counts that they could not
+	// write while the store was unavailable.
+	recoveryDelay = 2 * time.Second
+	// sendMargin is the time reserved to send a report before it is due. With less, the
+	// report would certainly be late.
+	sendMargin = 2500 * time.Millisecond
+	// TallyWritePeriod is how often an instance writes counts that have changed. Counts
+	// not yet written are lost when the process is killed.
 	TallyWritePeriod = time.Second
 )
 
-// CloseAt returns when the counts of w are added up. reachedSince is since when the
-// store has been reached without a break.
+// CloseAt returns when the counts of w are added up. reachableSince is the time since
+// which the store has been available without a break.
 //
-// It answers three loads. In the usual one, all have told their counts settleTime
-// after the end. Where the store was away over that time, instances tell them when
-// it returns, and are waited for while the report would still be in time. Where
-// some are killed, what they had not told is lost, and nothing is waited for.
-func (c Schedule) CloseAt(w Window, reachedSince time.Time) time.Time {
+// There are three cases. Usually all instances have written their counts settleDelay
+// after the window's end. If the store was unavailable in that time, instances write
+// them when it is available again, and CloseAt waits for this as long as the report is
+// still in time. If instances were killed, the counts that they had not written are
+// lost, and waiting does not help.
+func (c Schedule) CloseAt(w Window, reachableSince time.Time) time.Time {
 	end := c.End(w)
-	settled := end.Add(settleTime)
-	last := c.Due(w).Add(-sendTime)
+	settled := end.Add(settleDelay)
+	last := c.Due(w).Add(-sendMargin)
 	at := settled
-	if back := reachedSince.Add(returnTime); back.After(at) && reachedSince.After(end) {
+	if back := reachableSince.Add(recoveryDelay); back.After(at) && reachableSince.After(end) {
 		at = back
 	}
 	if at.After(last) && last.After(settled) {
@@ -76,9 +78,9 @@
 	return at
 }
 
-// Meter counts what begins at this instance. It is safe for concurrent use.
+// Meter counts the requests begun through this instance. It is safe for concurrent use.
 type Meter struct {
-	calendar Schedule
+	schedule Schedule
 
 	mu      sync.Mutex
 	tallies map[Window]*tally
@@ -86,18 +88,18 @@
 
 type tally struct {
 	counts  Counts
-	changed bool   // since it was told
-	version uint64 // of the row that tells it; 0 if it was not told
+	changed bool   // since it was last written
+	version uint64 // version of its row; 0 if there is none
 }
 
-// NewMeter returns a Meter of windows in calendar.
-func NewMeter(calendar Schedule) *Meter {
-	return &Meter{calendar: calendar, tallies: map[Window]*tally{}}
+// NewMeter returns a Meter for the windows of schedule.
+func NewMeter(schedule Schedule) *Meter {
+	return &Meter{schedule: schedule, tallies: map[Window]*tally{}}
 }
 
-// Count counts a request of customer that began at at.
+// Count counts a request of customer that began at the given time.
 func (m *Meter) Count(customer string, at time.Time) {
-	w := m.calendar.WindowAt(at)
+	w := m.schedule.WindowAt(at)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t := m.tallies[w]
@@ -113,10 +115,10 @@
 type Tally struct {
 	Window  Window
 	Counts  Counts
-	Version uint64 // of the row that tells an earlier state of it; 0 for none
+	Version uint64 // version of the row that holds an earlier state of the tally; 0 for none
 }
 
-// Unwritten returns the tallies that have changed since they were told.
+// Unwritten returns the tallies that have changed since they were last written.
 func (m *Meter) Unwritten() []Tally {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,28 +131,28 @@
 	return out
 }
 
-// Written tells that the row of a tally has a version now, and whether it holds the
-// tally's counts.
-func (m *Meter) Written(told Tally, version uint64, holds bool) {
+// Written records the version of a tally's row, and whether the row holds the tally's
+// counts.
+func (m *Meter) Written(written Tally, version uint64, current bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := m.tallies[told.Window]
+	t := m.tallies[written.Window]
 	if t == nil {
 		return
 	}
 	t.version = version
-	if holds {
-		t.changed = !maps.Equal(t.counts, told.Counts)
+	if current {
+		t.changed = !maps.Equal(t.counts, written.Counts)
 	}
 }
 
-// keepFor is how long counts of past windows are kept to be told: longer than most
+// tallyRetention is how long past windows are retained to be written: longer than most
 // outages of the store.
-const keepFor = 2 * time.Minute
+const tallyRetention = 2 * time.Minute
 
-// Expire drops the windows that ended long before now.
+// Expire drops the windows that ended more than tallyRetention before now.
 func (m *Meter) Expire(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	maps.DeleteFunc(m.tallies, func(w Window, _ *tally) bool { return now.Sub(m.calendar.End(w)) > keepFor })
+	maps.DeleteFunc(m.tallies, func(w Window, _ *tally) bool { return now.Sub(m.schedule.End(w)) > tallyRetention })
 }
