--- a/pkg/customer/customer.go
+++ b/pkg/customer/customer.go
@@ -1,5 +1,5 @@
-// Package customer knows the customers of a configuration and finds them by
-// their API keys. Keys are held as digests only.
+// Package customer holds the customers of a configuration and finds them by their API
+// keys. Only digests of the keys are held.
 package customer
 
 import (
@@ -11,48 +11,49 @@
 	"github.com/zinnialadder/zinnialadder/pkg/option"
 )
 
-// Customer is one customer of the site. The zero Customer is nobody: that of
-// requests that need no key.
+// Customer is one customer of the site. The zero Customer stands for callers of public
+// routes, which need no key.
 type Customer struct {
 	Name string
-	// Priority goes before that of the routes, if the operator has set one; 0 is
+	// Priority overrides the priority of the routes, if the operator has set it. 0 is
 	// the most urgent.
 	Priority option.Of[int]
 }
 
-// Digest stands for an API key wherever the key itself is not needed.
+// Digest is the SHA-256 digest of an API key. It is used wherever the key itself is not
+// needed.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// String hides the digest: a key that somebody guesses could be confirmed by it.
+// String does not show the digest: it would confirm a guessed key.
 func (Digest) String() string { return "(key)" }
 
-// Entry is a customer as it is configured.
+// Entry is a customer as configured, with the digests of its keys.
 type Entry struct {
 	Customer
 	Keys []Digest
 }
 
-// Index finds customers by their keys and names. It is not changed once it is
-// made. A nil Index is that of a site without customers.
+// Index finds customers by their keys and names. It is immutable. A nil Index is that
+// of a site without customers.
 type Index struct {
 	byKey  map[Digest]Customer
 	byName map[string]Entry
 }
 
-// NewIndex returns the index of entries, or an error if a customer has no name,
-// or two have one name or one key.
+// NewIndex returns the index of entries. It returns an error if a customer has no name,
+// or if two customers have the same name or key.
 func NewIndex(entries []Entry) (*Index, error) {
 	x := &Index{byKey: map[Digest]Customer{}, byName: map[string]Entry{}}
 	for _, e := range entries {
-		if _, taken := x.byName[e.Name]; taken || e.Name == "" {
-			return nil, fmt.Errorf("customer: no name, or one that another has: %q", e.Name)
+		if _, exists := x.byName[e.Name]; exists || e.Name == "" {
+			return nil, fmt.Errorf("customer: name %q is empty or not unique", e.Name)
 		}
 		x.byName[e.Name] = e
 		for _, key := range e.Keys {
-			if other, taken := x.byKey[key]; taken && other.Name != e.Name {
+			if other, exists := x.byKey[key]; exists && other.Name != e.Name {
 				return nil, fmt.Errorf("customer: %s and %s have the same key", other.Name, e.Name)
 			}
 			x.byKey[key] = e.Customer
@@ -61,8 +62,8 @@
 	return x, nil
 }
 
-// FindByKey returns the customer who has key. Keys are compared by their digests, so
-// that the time it takes tells nothing of them.
+// FindByKey returns the customer that has key. Keys are compared by their digests, so
+// that the time a comparison takes reveals nothing of the key.
 func (x *Index) FindByKey(key string) (Customer, bool) {
 	if x == nil || key == "" {
 		return Customer{}, false
@@ -80,7 +81,7 @@
 	return e.Customer, ok
 }
 
-// Len returns how many customers there are.
+// Len returns the number of customers.
 func (x *Index) Len() int {
 	if x == nil {
 		return 0
@@ -88,17 +89,17 @@
 	return len(x.byName)
 }
 
-// Diff tells what of an index is new against another, by the names of customers.
+// Diff lists the names of customers that differ between two indexes.
 type Diff struct {
 	Added       []string `json:"added,omitempty"`
 	Removed     []string `json:"removed,omitempty"`
-	KeysChanged []string `json:"rekeyed,omitempty"` // keys were added or taken away
+	KeysChanged []string `json:"rekeyed,omitempty"` // keys were added or removed
 }
 
-// Empty reports whether nothing is new.
+// Empty reports whether there is no difference.
 func (d Diff) Empty() bool { return len(d.Added)+len(d.Removed)+len(d.KeysChanged) == 0 }
 
-// Compare returns what x has new against old. Either may be nil.
+// Compare returns what has changed from old to x. Either may be nil.
 func (x *Index) Compare(old *Index) Diff {
 	var d Diff
 	before, after := old.entries(), x.entries()
--- a/pkg/customer/customer_test.go
+++ b/pkg/customer/customer_test.go
@@ -23,12 +23,12 @@
 	return e
 }
 
-// A key finds the customer who has it in that version of the index, whatever other
-// versions have or had, and nobody else.
+// A key finds the customer that has it in that version of the index, whatever other
+// versions say of it; other strings find no customer.
 func TestFind(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var versions []*customer.Index
-		var owners []map[string]string // of keys, by version
+		var owners []map[string]string // key → customer name, by version of the index
 		for range rapid.IntRange(1, 5).Draw(t, "versions") {
 			owner, keys := map[string]string{}, map[string][]string{}
 			for k := range 12 {
@@ -52,46 +52,46 @@
 				key := fmt.Sprintf("key%d", k)
 				got, ok := x.FindByKey(key)
 				if want, has := owners[i][key]; ok != has || got.Name != want {
-					t.Fatalf("version %d: %s is %q, want %q", i, key, got.Name, want)
+					t.Fatalf("version %d: customer of key %s = %q, want %q", i, key, got.Name, want)
 				}
 			}
 			for _, other := range []string{"", "c0", "key", "key1 "} {
 				if c, ok := x.FindByKey(other); ok {
-					t.Fatalf("%q is a key of %s", other, c.Name)
+					t.Fatalf("%q found customer %s, want none", other, c.Name)
 				}
 			}
 		}
 	})
 }
 
-func TestBadEntries(t *testing.T) {
+func TestNewIndexRejectsInvalidEntries(t *testing.T) {
 	for what, entries := range map[string][]customer.Entry{
-		"no name":      {entry("", "k")},
-		"one name":     {entry("a", "k"), entry("a", "l")},
-		"one key":      {entry("a", "k"), entry("b", "k")},
-		"one of a few": {entry("a", "k", "l"), entry("b", "m", "l")},
+		"no name":                          {entry("", "k")},
+		"duplicate name":                   {entry("a", "k"), entry("a", "l")},
+		"duplicate key":                    {entry("a", "k"), entry("b", "k")},
+		"one duplicate among several keys": {entry("a", "k", "l"), entry("b", "m", "l")},
 	} {
 		if _, err := customer.NewIndex(entries); err == nil {
-			t.Errorf("%s: no error", what)
+			t.Errorf("%s: NewIndex returned no error", what)
 		}
 	}
 	if _, err := customer.NewIndex([]customer.Entry{entry("a", "k", "k")}); err != nil {
-		t.Errorf("a key that a customer has twice: %v", err)
+		t.Errorf("customer with one key twice: error %v, want none", err)
 	}
 }
 
-// A site without customers has nobody; one with none knows no key.
-func TestNobody(t *testing.T) {
+// Neither a nil Index nor one without entries finds a customer.
+func TestIndexWithoutCustomers(t *testing.T) {
 	empty, err := customer.NewIndex(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range []*customer.Index{nil, empty} {
 		if _, ok := x.FindByKey("k"); ok {
-			t.Error("found by a key")
+			t.Error("FindByKey found a customer, want none")
 		}
 		if _, ok := x.FindByName("a"); ok || x.Len() != 0 {
-			t.Error("found by a name")
+			t.Error("FindByName found a customer or Len is not 0, want none")
 		}
 	}
 }
@@ -101,40 +101,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	urgent := entry("kept", "l", "k")
-	urgent.Priority = option.Some(0)
-	after, err := customer.NewIndex([]customer.Entry{urgent, entry("rotated", "s"), entry("more", "m", "n"), entry("new", "x")})
+	reprioritized := entry("kept", "l", "k")
+	reprioritized.Priority = option.Some(0)
+	after, err := customer.NewIndex([]customer.Entry{reprioritized, entry("rotated", "s"), entry("more", "m", "n"), entry("new", "x")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := after.Compare(before)
 	if !slices.Equal(d.Added, []string{"new"}) || !slices.Equal(d.Removed, []string{"gone"}) || !slices.Equal(d.KeysChanged, []string{"more", "rotated"}) {
-		t.Errorf("%+v", d)
+		t.Errorf("Compare = %+v, want added new, removed gone, keys changed more and rotated", d)
 	}
 	if d := after.Compare(after); !d.Empty() {
-		t.Errorf("the same: %+v", d)
+		t.Errorf("Compare with itself = %+v, want no difference", d)
 	}
 	if d := before.Compare(nil); len(d.Added) != 4 {
-		t.Errorf("against none: %+v", d)
+		t.Errorf("Compare with nil = %+v, want 4 added", d)
 	}
 	if c, _ := after.FindByName("kept"); c.Priority.Or(7) != 0 {
-		t.Errorf("priority %d", c.Priority.Or(7))
+		t.Errorf("priority = %d, want 0", c.Priority.Or(7))
 	}
 }
 
-// A digest shows nothing of itself in logs.
+// Formatting a digest, also inside an entry, must not reveal it in logs.
 func TestDigestIsHidden(t *testing.T) {
 	d := customer.DigestOf("k")
 	for _, s := range []string{fmt.Sprint(d), fmt.Sprintf("%v %s", entry("a", "k"), d)} {
 		if strings.Contains(s, fmt.Sprintf("%x", d[:4])) || strings.Contains(s, fmt.Sprint(d[0], " ", d[1])) {
-			t.Errorf("a digest is shown: %s", s)
+			t.Errorf("formatted digest reveals the digest: %s", s)
 		}
 	}
 }
 
-// maxFind bounds what a request's key adds to it, in nanoseconds: a hundredth of a
-// request's processor time at an instance.
-const maxFind = 20_000
+// maxFindNanos bounds the time of a key look-up, in nanoseconds: a hundredth of the
+// processor time that an instance spends on a request.
+const maxFindNanos = 20_000
 
 func BenchmarkFind(b *testing.B) {
 	entries := make([]customer.Entry, 10_000)
@@ -149,10 +149,10 @@
 	for b.Loop() {
 		n++
 		if _, ok := x.FindByKey(entries[n%len(entries)].Name); ok {
-			b.Fatal("a name is a key")
+			b.Fatal("a customer's name was accepted as a key")
 		}
 	}
-	if each := float64(b.Elapsed().Nanoseconds()) / float64(b.N); b.N > 100 && each > maxFind {
-		b.Errorf("%.0f ns a key, want %d at the most", each, maxFind)
+	if each := float64(b.Elapsed().Nanoseconds()) / float64(b.N); b.N > 100 && each > maxFindNanos {
+		b.Errorf("%.0f ns per look-up, want at most %d", each, maxFindNanos)
 	}
 }
