--- a/pkg/control/catalogue.go
+++ b/pkg/control/catalogue.go
@@ -10,41 +10,41 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// onCatalogue applies the rows read, each only if it is newer than the one
-// applied before, so that no read can take a change back.
+// onCatalogue applies the rows read, each only if it is newer than the one applied
+// before, so that a late read cannot revert a change.
 func (s State) onCatalogue(e CatalogueRead) (State, []Effect) {
-	s = s.ended(task{kind: catalogueTask})
+	s = s.taskEnded(task{kind: catalogueTask})
 	if e.Err != nil {
-		return s.platformDown(e.Err)
+		return s.platformUnavailable(e.Err)
 	}
-	s, effs := s.platformUp()
+	s, effs := s.platformAvailable()
 	if e.Unchanged {
 		return s, effs
 	}
-	snap, err := catalogue.Decode(e.Rows)
+	snapshot, err := catalogue.Decode(e.Rows)
 	if err != nil {
-		return s, append(effs, LogChange{Message: "catalogue unreadable", Fields: []any{"err", err}})
+		return s, append(effs, LogChange{Message: "catalogue malformed; keeping the one in force", Fields: []any{"err", err}})
 	}
 	targets, err := decodeTargets(e.Rows)
 	if err != nil {
-		return s, append(effs, LogChange{Message: "weight target unreadable", Fields: []any{"err", err}})
+		return s, append(effs, LogChange{Message: "weight target malformed; keeping the catalogue in force", Fields: []any{"err", err}})
 	}
 	s.revisionNumber, s.revisionRow = max(s.revisionNumber, e.Number), max(s.revisionRow, e.Revision)
 	v := s.View.cloneCatalogue()
-	newest, changed := v.apply(snap, targets)
+	newest, changed := v.apply(snapshot, targets)
 	if changed == 0 {
 		return s, effs
 	}
 	s.revision = max(s.revision, newest)
 	s.engines, s.poolsOf = engineAddrs(v.Pools)
 	s.View = v
-	s = s.choosePools()
+	s = s.choosePreferredRollouts()
 	return s, append(effs, PublishView{v},
 		LogChange{Message: "catalogue applied", Fields: []any{"items", changed, "revision", s.revision}},
 		NotifyPeers{Revision: s.revision, Draining: s.self.Draining})
 }
 
-// cloneCatalogue returns a copy of v whose catalogue can be changed.
+// cloneCatalogue returns a copy of v whose catalogue maps may be modified.
 func (v *View) cloneCatalogue() *View {
 	n := v.clone()
 	n.Entries, n.Pools, n.Customers = maps.Clone(v.Entries), maps.Clone(v.Pools), maps.Clone(v.Customers)
@@ -52,12 +52,12 @@
 	return n
 }
 
-// apply applies to v the items of snap and the targets that are newer than
-// what it holds. It returns the newest row version applied and how many were.
-func (v *View) apply(snap catalogue.Snapshot, targets map[string]weights.Target) (newest uint64, changed int) {
-	for key, version := range snap.Versions {
+// apply applies to v the items of snap and the targets that are newer than those it
+// holds. It returns the newest row version applied and the number of rows applied.
+func (v *View) apply(snapshot catalogue.Snapshot, targets map[string]weights.Target) (newest uint64, changed int) {
+	for key, version := range snapshot.Versions {
 		if version <= v.RowVersions[key] {
-			continue // never go back to an older version
+			continue // v holds this version or a newer one
 		}
 		changed++
 		v.RowVersions[key] = version
@@ -65,11 +65,11 @@
 		name := key[strings.LastIndexByte(key, '/')+1:]
 		switch {
 		case strings.HasPrefix(key, catalogue.EntryPrefix):
-			setItem(v.Entries, name, snap.Entries[name], snap.Entries[name].Removed)
+			setItem(v.Entries, name, snapshot.Entries[name], snapshot.Entries[name].Removed)
 		case strings.HasPrefix(key, catalogue.PoolPrefix):
-			setItem(v.Pools, name, snap.Pools[name], snap.Pools[name].Removed)
+			setItem(v.Pools, name, snapshot.Pools[name], snapshot.Pools[name].Removed)
 		case strings.HasPrefix(key, catalogue.CustomerPrefix):
-			setItem(v.Customers, name, snap.Customers[name], snap.Customers[name].Removed)
+			setItem(v.Customers, name, snapshot.Customers[name], snapshot.Customers[name].Removed)
 		case strings.HasPrefix(key, weights.TargetPrefix):
 			v.Targets[name] = targets[name]
 			v.NewestVersions[name] = max(v.NewestVersions[name], targets[name].Version)
@@ -78,7 +78,7 @@
 	return newest, changed
 }
 
-// setItem sets m's item, or deletes it if it is removed from the catalogue.
+// setItem sets m[name], or deletes it if the item is removed from the catalogue.
 func setItem[T any](m map[string]T, name string, item T, removed bool) {
 	if removed {
 		delete(m, name)
@@ -102,8 +102,8 @@
 	return out, nil
 }
 
-// engineAddrs returns every engine address of pools, sorted, once each, and
-// the names of the pools that each is in.
+// engineAddrs returns the addresses of all engines in pools, sorted and without
+// duplicates, and the names of the pools that each address is in.
 func engineAddrs(pools map[string]catalogue.Pool) ([]string, map[string][]string) {
 	poolsOf := map[string][]string{}
 	for name, p := range pools {
--- a/pkg/control/control_test.go
+++ b/pkg/control/control_test.go
@@ -27,7 +27,7 @@
 
 func newState() control.State { return control.New(control.Member{ID: "a", Address: "a:1"}, timing) }
 
-// entryRow is the row of a catalogue entry whose owner tells the row's version.
+// entryRow returns the row of a catalogue entry whose owner names the row's version.
 func entryRow(t interface{ Fatal(...any) }, version uint64) platform.Row {
 	b, err := json.Marshal(catalogue.Entry{Name: "e", Owner: fmt.Sprintf("c%d", version), Class: catalogue.Interactive})
 	if err != nil {
@@ -36,9 +36,9 @@
 	return platform.Row{Key: catalogue.EntryPrefix + "e", Version: version, Value: b}
 }
 
-// Whatever order reads of the catalogue come in, also after failures, what
-// traffic reads never goes back to an older version of an entry.
-func TestCatalogueNeverGoesBack(t *testing.T) {
+// Reads of the catalogue may return in any order, also after failed ones. An entry in
+// the View must never revert to an older version.
+func TestCatalogueKeepsNewestVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, highest := newState(), uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "reads") {
@@ -50,38 +50,38 @@
 				highest = max(highest, v)
 			}
 			if got := s.View.Entries["e"].Owner; highest > 0 && got != fmt.Sprintf("c%d", highest) {
-				t.Fatalf("entry of %s after version %d", got, highest)
+				t.Fatalf("entry's owner = %s after version %d was read, want that of the newest version", got, highest)
 			}
 		}
 	})
 }
 
-// Work that is under way is not begun a second time, however long it takes.
-func TestWorkIsNotDoubled(t *testing.T) {
+// A task in progress must not be started a second time, however long it takes.
+func TestTaskUnderWayIsNotStartedAgain(t *testing.T) {
 	s, now := newState(), start()
-	begun := map[string]int{}
+	started := map[string]int{}
 	for range 100 {
 		var effs []control.Effect
 		s, effs = control.Reduce(s, control.Tick{At: now})
 		for _, e := range effs {
 			switch e.(type) {
 			case control.ReadCatalogue, control.ReadMembers, control.Heartbeat, control.ReadSteps, control.ReadInstances:
-				begun[fmt.Sprintf("%T", e)]++
+				started[fmt.Sprintf("%T", e)]++
 			}
 		}
 		now = now.Add(time.Second)
 	}
-	if len(begun) != 5 {
-		t.Fatalf("begun %v", begun)
+	if len(started) != 5 {
+		t.Fatalf("started %v, want 5 kinds of tasks", started)
 	}
-	for what, n := range begun {
+	for what, n := range started {
 		if n != 1 {
-			t.Errorf("%s begun %d times and never ended", what, n)
+			t.Errorf("%s started %d times without ending, want once", what, n)
 		}
 	}
 }
 
-// memberRow is the row of a member that is held.
+// memberRow returns the row of a member with a live lease.
 func memberRow(t *testing.T, id string, version uint64, now time.Time) platform.Row {
 	data, err := json.Marshal(control.Member{ID: id, Address: id + ":1"})
 	if err != nil {
@@ -94,9 +94,9 @@
 	return platform.Row{Key: "member/" + id, Version: version, Value: b}
 }
 
-// A step's shards run where the membership says, once each, and not at an
-// instance that drains.
-func TestShardsRunOnce(t *testing.T) {
+// Each shard of an open step runs on exactly one of the instances that agree on the
+// membership, is started once, and is not started at an instance that drains.
+func TestEachShardRunsOnOneInstance(t *testing.T) {
 	now := start()
 	rows := []platform.Row{memberRow(t, "a", 1, now), memberRow(t, "b", 2, now)}
 	heads := map[string]step.Head{"c/e/s": {Shards: 8}, "c/e/closed": {Shards: 8, Closed: step.Cancelled}}
@@ -116,7 +116,7 @@
 		mine := shards(effs)
 		all = append(all, mine...)
 		if s, effs = control.Reduce(s, control.StepsRead{Heads: heads}); len(shards(effs)) != 0 {
-			t.Fatalf("%s runs %v again", id, shards(effs))
+			t.Fatalf("%s started %v again, want none", id, shards(effs))
 		}
 		s, _ = control.Reduce(s, control.DrainStarted{})
 		for _, shard := range mine {
@@ -127,29 +127,29 @@
 			s, _ = control.Reduce(s, control.ShardEnded{ID: control.ShardID{Step: "c/e/s", Shard: k}})
 		}
 		if _, effs = control.Reduce(s, control.StepsRead{Heads: heads}); len(shards(effs)) != 0 {
-			t.Fatalf("%s starts %v while it drains", id, shards(effs))
+			t.Fatalf("%s started %v while draining, want none", id, shards(effs))
 		}
 	}
 	slices.Sort(all)
 	if len(slices.Compact(slices.Clone(all))) != 8 || len(all) != 8 {
-		t.Fatalf("two instances run %v", all)
+		t.Fatalf("two instances run %v, want each of 8 shards once", all)
 	}
 }
 
-// A member whose row stands unchanged is dropped by this process's own clock,
-// whatever expiry its holder wrote.
-func TestSilentMemberIsDropped(t *testing.T) {
+// A member whose row does not change is dropped by the local clock, whatever expiry the
+// row contains: the clock of its instance may be ahead.
+func TestMemberWithUnchangedRowIsDropped(t *testing.T) {
 	s, now := newState(), start()
-	row := memberRow(t, "b", 1, now.Add(time.Hour)) // its clock is ahead
+	row := memberRow(t, "b", 1, now.Add(time.Hour)) // the clock of b is an hour ahead
 	for range 5 {
 		s, _ = control.Reduce(s, control.MembersRead{Rows: []platform.Row{row}, At: now})
 		now = now.Add(time.Second)
 	}
 	if len(s.View.Members) != 1 {
-		t.Fatalf("members %v within the lease", s.View.Members)
+		t.Fatalf("members = %v within the lease, want one", s.View.Members)
 	}
 	s, _ = control.Reduce(s, control.MembersRead{Rows: []platform.Row{row}, At: now.Add(5 * time.Second)})
 	if len(s.View.Members) != 0 {
-		t.Fatalf("members %v after the lease", s.View.Members)
+		t.Fatalf("members = %v after the lease, want none", s.View.Members)
 	}
 }
--- a/pkg/control/events.go
+++ b/pkg/control/events.go
@@ -11,79 +11,86 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// Event is something that happened. Reduce turns each into a new State and
+// Event is an input of the state machine. Reduce turns each into a new State and
 // effects.
 type Event interface{ isEvent() }
 
 type (
-	// Tick tells the time.
+	// Tick is sent periodically with the current time; it starts the work that is due.
 	Tick struct{ At time.Time }
-	// CatalogueRead tells the rows of the catalogue that were read.
+	// CatalogueRead is the outcome of a ReadCatalogue. Newer rows are applied to the
+	// View.
 	CatalogueRead struct {
-		Revision  uint64 // version of the revision row; 0 if absent
-		Number    uint64 // the revision's number
-		Unchanged bool   // the revision row had not moved; rows not read
+		Revision  uint64 // version of the revision row; 0 if there is none
+		Number    uint64 // number in the revision row
+		Unchanged bool   // the revision row has not changed; no rows were read
 		Rows      []platform.Row
 		At        time.Time
 		Err       error
 	}
-	// MembersRead tells the rows of the membership.
+	// MembersRead is the outcome of a ReadMembers. It determines the live members.
 	MembersRead struct {
 		Rows []platform.Row
 		At   time.Time
 		Err  error
 	}
-	// HeartbeatDone tells how renewing this instance's membership lease ended.
+	// HeartbeatDone is the outcome of a Heartbeat.
 	HeartbeatDone struct {
 		Lease lease.Lease
 		Err   error
 	}
-	// ReportRead tells an engine's load report.
+	// ReportRead is the outcome of a ReadReport. The report is stored, and the rollouts
+	// of the engine's pools use it.
 	ReportRead struct {
 		Address string
 		Report  engine.LoadReport
 		At      time.Time
 		Err     error
 	}
-	// RolloutLeaseDone tells how taking a pool's rollout lease ended.
+	// RolloutLeaseDone is the outcome of a TakeRolloutLease.
 	RolloutLeaseDone struct {
 		Pool string
 		Held lease.Held
 		Err  error
 	}
-	// OrderEnded tells how a load order ended.
+	// OrderEnded is the outcome of a SendOrder.
 	OrderEnded struct {
 		Pool    string
 		Ordered weights.OrderEnded
 	}
-	// SweepDone tells how many samples a sweep has sent.
+	// SweepDone is the outcome of a Sweep: the number of samples sent.
 	SweepDone struct {
 		Sent int
 		Err  error
 	}
-	// DrainStarted tells that this instance is to stop.
+	// DrainStarted is sent when the instance is asked to stop. It accepts no new
+	// callers from then on.
 	DrainStarted struct{}
-	// PeerNotified is a peer's word that the catalogue changed at revision, or
-	// that the peer is draining.
+	// PeerNotified is sent when a peer notifies this instance that the catalogue has
+	// changed at Revision, that a step was accepted or that the peer drains, and when
+	// this instance itself changes the catalogue. What has changed is read at the next
+	// Tick.
 	PeerNotified struct {
 		Revision uint64
 		Draining bool
-		Changed  bool // this instance itself changed the catalogue's rows
+		Changed  bool // this instance has changed catalogue rows
 		Steps    bool // a step was accepted
 	}
-	// StepsRead tells the heads of all steps kept, by step.Key.
+	// StepsRead is the outcome of a ReadSteps: the heads of all stored steps, by
+	// step.Key.
 	StepsRead struct {
 		Heads map[string]step.Head
 		Err   error
 	}
-	// StepAccepted tells that this instance has accepted a step.
+	// StepAccepted is sent when this instance has accepted a step. The steps are read
+	// at the next Tick.
 	StepAccepted struct{}
-	// InstancesRead tells changes of the platform's list of upstream instances.
+	// InstancesRead is the outcome of a ReadInstances.
 	InstancesRead struct {
 		Changes platform.InstanceChanges
 		Err     error
 	}
-	// ShardEnded tells that a step's shard runs here no more.
+	// ShardEnded is sent when a step's shard does not run on this instance any more.
 	ShardEnded struct{ ID ShardID }
 )
 
@@ -102,70 +109,71 @@
 func (InstancesRead) isEvent()    {}
 func (ShardEnded) isEvent()       {}
 
-// Effect is something that Reduce asks its caller to do.
+// Effect is an output of the state machine, which the caller of Reduce carries out.
 type Effect interface{ isEffect() }
 
 type (
-	// ReadCatalogue reads the catalogue, if it has changed, and ends in a
+	// ReadCatalogue reads the catalogue if it has changed. It ends with a
 	// CatalogueRead.
 	ReadCatalogue struct {
-		Known  uint64 // revision row version applied; 0 if the row was absent
-		Number uint64 // revision number applied
-		Full   bool   // scan whatever the revision row says
+		Known  uint64 // version of the revision row last applied; 0 if there was none
+		Number uint64 // revision number last applied
+		Full   bool   // read all rows, whatever the revision row says
 	}
-	// ReadMembers reads the membership and ends in a MembersRead.
+	// ReadMembers reads the membership. It ends with a MembersRead.
 	ReadMembers struct{}
-	// Heartbeat renews this instance's membership lease and ends in a HeartbeatDone.
+	// Heartbeat renews this instance's membership lease. It ends with a HeartbeatDone.
 	Heartbeat struct {
-		Held      lease.Lease // as last written; zero if not held
-		At        time.Time   // the lease lives from here
-		ExpiresAt time.Time   // to here
+		Held      lease.Lease // lease as last written; zero if not held
+		At        time.Time   // time of the renewal
+		ExpiresAt time.Time   // expiry of the renewed lease
 		Draining  bool
 	}
-	// ReadReport reads an engine's load report and ends in a ReportRead.
+	// ReadReport reads an engine's load report. It ends with a ReportRead.
 	ReadReport struct{ Address string }
-	// Sweep sends samples whose records were left behind and ends in a SweepDone.
+	// Sweep sends recorded samples that their instance has not delivered. It ends with
+	// a SweepDone.
 	Sweep struct {
-		OlderThan time.Time // deliveries recorded before are sent
-		Purge     bool      // also remove what is long gone
+		OlderThan time.Time // deliveries recorded before this time are sent
+		Purge     bool      // also delete records past their retention
 	}
-	// TakeRolloutLease takes or renews a pool's rollout lease and ends in a
-	// RolloutLease.
+	// TakeRolloutLease acquires or renews a pool's rollout lease. It ends with a
+	// RolloutLeaseDone.
 	TakeRolloutLease struct{ Pool string }
-	// ReleaseRolloutLease gives a pool's rollout lease up.
+	// ReleaseRolloutLease releases a pool's rollout lease.
 	ReleaseRolloutLease struct{ Pool string }
-	// SendOrder sends an engine of a pool an order and ends in an OrderEnded.
+	// SendOrder sends a load order to an engine of a pool. It ends with an OrderEnded.
 	SendOrder struct {
 		Pool  string
 		Order weights.Order
 	}
-	// PublishView has traffic read View from now on.
+	// PublishView makes View the one that request handlers read.
 	PublishView struct{ View *View }
-	// StoreReport keeps an engine's load report for traffic.
+	// StoreReport stores an engine's load report for request handlers.
 	StoreReport struct {
 		Address string
 		Report  engine.LoadReport
 	}
-	// LogChange logs what the instance believes now.
+	// LogChange logs a change of the state.
 	LogChange struct {
 		Message string
 		Fields  []any
 	}
-	// NotifyPeers tells other instances what has changed.
+	// NotifyPeers notifies other instances of changes.
 	NotifyPeers struct {
 		Revision uint64
 		Draining bool
 		Steps    bool
 	}
-	// ReadSteps reads the heads of the steps kept and ends in a StepsRead.
+	// ReadSteps reads the heads of the stored steps. It ends with a StepsRead.
 	ReadSteps struct{}
-	// ReadInstances reads the platform's list of upstream instances from a sequence
-	// number on and ends in an InstancesRead.
+	// ReadInstances reads the changes of the platform's list of upstream instances
+	// after a sequence number. It ends with an InstancesRead.
 	ReadInstances struct{ Since uint64 }
-	// RunShard runs a shard of a step and ends in a ShardEnded.
+	// RunShard runs a shard of a step. It ends with a ShardEnded.
 	RunShard struct {
 		ID  ShardID
-		TTL time.Duration // of the shard's lease
+		TTL time.Duration // time to live of the shard's lease
 	}
 )
 
@@ -185,11 +193,11 @@
 func (ReadSteps) isEffect()           {}
 func (RunShard) isEffect()            {}
 
-// ShardID names one shard of a step.
+// ShardID identifies one shard of a step.
 type ShardID struct {
 	Step  string // step.Key
 	Shard int
 }
 
-// String returns a shard's name, for logs.
+// String returns the shard's name, for logs.
 func (id ShardID) String() string { return fmt.Sprintf("%s/%d", id.Step, id.Shard) }
--- a/pkg/control/loads.go
+++ b/pkg/control/loads.go
@@ -6,24 +6,24 @@
 	"github.com/zinnialadder/zinnialadder/pkg/engine"
 )
 
-// LoadTable keeps the last load report of each engine by address. The control
-// goroutine stores reports; traffic reads them, and stores the loads that
-// engines tell with their answers, which cost no call.
+// LoadTable holds the last load report of each engine by address. The control goroutine
+// stores reports. Request handlers read them, and store the loads that engines send
+// with their responses, which cost no call of their own. It is safe for concurrent use.
 type LoadTable struct {
 	mu      sync.RWMutex
 	reports map[string]loadReport
 }
 
-// loadReport is an engine's last report, with the part of its load that was
-// not this instance's own when it told it.
+// loadReport is an engine's last report, with the number of requests in it that are not
+// this instance's own.
 type loadReport struct {
 	engine.LoadReport
-	others int64
+	otherRequests int64
 }
 
-// othersIn returns how many of the requests in l are not among the own that
+// otherRequestsIn returns how many requests of l are not among the own requests that
 // this instance has in flight at the engine.
-func othersIn(l engine.Load, own int64) int64 { return max(0, int64(l.Active+l.Queued)-own) }
+func otherRequestsIn(l engine.Load, own int64) int64 { return max(0, int64(l.Active+l.Queued)-own) }
 
 func newLoadTable() *LoadTable {
 	return &LoadTable{reports: map[string]loadReport{}}
@@ -32,36 +32,37 @@
 func (t *LoadTable) get(addr string) (engine.LoadReport, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	rep, ok := t.reports[addr]
-	return rep.LoadReport, ok
+	report, ok := t.reports[addr]
+	return report.LoadReport, ok
 }
 
-// OtherRequests returns how many requests of others the engine at addr is believed
-// to hold.
+// OtherRequests returns how many requests of other senders the engine at addr holds by
+// its last report.
 func (t *LoadTable) OtherRequests(addr string) int64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.reports[addr].others
+	return t.reports[addr].otherRequests
 }
 
-// PutReport stores rep, read while this instance had own requests in flight at the
+// PutReport stores report, read while this instance had own requests in flight at the
 // engine.
-func (t *LoadTable) PutReport(addr string, rep engine.LoadReport, own int64) {
+func (t *LoadTable) PutReport(addr string, report engine.LoadReport, own int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.reports[addr] = loadReport{LoadReport: rep, others: othersIn(engine.Load{Active: rep.Active, Queued: rep.Queued}, own)}
+	t.reports[addr] = loadReport{LoadReport: report, otherRequests: otherRequestsIn(engine.Load{Active: report.Active, Queued: report.Queued}, own)}
 }
 
-// PutLoad stores the load that the engine at addr told with an answer, while
-// this instance had own requests in flight at it.
+// PutLoad stores the load that the engine at addr sent with a response, while this
+// instance had own requests in flight at it. It does nothing before the engine's first
+// report.
 func (t *LoadTable) PutLoad(addr string, l engine.Load, own int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	rep, ok := t.reports[addr]
+	report, ok := t.reports[addr]
 	if !ok {
-		return // its version is not known yet
+		return // without a report its weight version is not known
 	}
-	rep.Active, rep.Queued = l.Active, l.Queued
-	rep.others = othersIn(l, own)
-	t.reports[addr] = rep
+	report.Active, report.Queued = l.Active, l.Queued
+	report.otherRequests = otherRequestsIn(l, own)
+	t.reports[addr] = report
 }
--- a/pkg/control/members.go
+++ b/pkg/control/members.go
@@ -11,55 +11,54 @@
 	"github.com/zinnialadder/zinnialadder/pkg/route"
 )
 
-// membersPerRefresh is how many members are read in one refresh period:
-// with more, the membership is scanned less often, in proportion, so that
-// its cost to a node does not grow with their number.
+// membersPerRefresh is how many members are read per refresh period. With more members
+// the membership is read less often in proportion, so that the cost to an instance does
+// not grow with their number.
 const membersPerRefresh = 12
 
-// RenewalsPerTTL is how often a lease is renewed in the time it lives.
+// RenewalsPerTTL is how often a lease is renewed within its time to live.
 const RenewalsPerTTL = 3
 
-// maxRenewals bounds the renewals a second of all leases of one kind
-// together: with more leases each lives longer, so that the writes to the
-// platform do not grow with the number of instances or of shards.
-const maxRenewals = 45
+// maxRenewalsPerSecond bounds the renewals of all leases of one kind. With more leases
+// each has a longer time to live, so that the writes to the platform do not grow with
+// the number of instances or shards.
+const maxRenewalsPerSecond = 45
 
-// leaseTTL returns how long each of n leases lives, atLeast being enough for
-// few of them.
+// leaseTTL returns the time to live of each of n leases, which is at least atLeast.
 func leaseTTL(n int, atLeast time.Duration) time.Duration {
-	return max(atLeast, time.Duration(n)*time.Second*RenewalsPerTTL/maxRenewals)
+	return max(atLeast, time.Duration(n)*time.Second*RenewalsPerTTL/maxRenewalsPerSecond)
 }
 
-// memberTTL is how long this instance's membership lease lives.
+// memberTTL returns the time to live of this instance's membership lease.
 func (s State) memberTTL() time.Duration { return leaseTTL(len(s.View.Members), s.timing.LeaseTTL) }
 
-// sighting is when a member's row was first seen at a version, by this
-// process's clock.
-type sighting struct {
+// seenRow is a version of a member's row and when it was first seen, by the local
+// clock.
+type seenRow struct {
 	version uint64
 	at      time.Time
 }
 
-// memberPeriod is the time between membership scans.
+// memberPeriod returns the time between reads of the membership.
 func (s State) memberPeriod() time.Duration {
 	return s.timing.Refresh * time.Duration(max(1, len(s.View.Members)/membersPerRefresh))
 }
 
-// onMembers takes the live members from their lease rows.
+// onMembers determines the live members from their lease rows.
 func (s State) onMembers(e MembersRead) (State, []Effect) {
-	s = s.ended(task{kind: membersTask})
+	s = s.taskEnded(task{kind: membersTask})
 	if e.Err != nil {
-		return s.platformDown(e.Err)
+		return s.platformUnavailable(e.Err)
 	}
-	sightings := make(map[string]sighting, len(e.Rows))
+	seenRows := make(map[string]seenRow, len(e.Rows))
 	var live []Member
 	for _, r := range e.Rows {
-		sightings[r.Key] = s.sighted(r, e.At)
-		if m, ok := s.liveMember(r, sightings[r.Key], e.At); ok {
+		seenRows[r.Key] = s.seeRow(r, e.At)
+		if m, ok := s.liveMember(r, seenRows[r.Key], e.At); ok {
 			live = append(live, m)
 		}
 	}
-	s.sightings = sightings
+	s.seenRows = seenRows
 	sortMembers(live)
 	if slices.Equal(live, s.View.Members) {
 		return s, nil
@@ -67,23 +66,22 @@
 	v := s.View.clone()
 	v.Members = live
 	s.View = v
-	s = s.choosePools()
+	s = s.choosePreferredRollouts()
 	return s, []Effect{PublishView{v}, LogChange{Message: "membership changed", Fields: []any{"live", len(live)}}}
 }
 
-func (s State) sighted(r platform.Row, now time.Time) sighting {
-	if old, ok := s.sightings[r.Key]; ok && old.version == r.Version {
+func (s State) seeRow(r platform.Row, now time.Time) seenRow {
+	if old, ok := s.seenRows[r.Key]; ok && old.version == r.Version {
 		return old
 	}
-	return sighting{version: r.Version, at: now}
+	return seenRow{version: r.Version, at: now}
 }
 
-// liveMember decodes a member's row and reports whether the member lives.
-// A row seen to change is judged by this process's own clock alone: it
-// lives until it has stood unchanged for the time it tells and the time
-// between scans. A row seen for
-// the first time is judged by the expiry its holder wrote.
-func (s State) liveMember(r platform.Row, seen sighting, now time.Time) (Member, bool) {
+// liveMember decodes a member's row and reports whether the member is live. A row that
+// was seen before is judged by the local clock alone: its member is live until the row
+// has not changed for its time to live plus the time between reads. A row seen for the
+// first time is judged by the expiry in it.
+func (s State) liveMember(r platform.Row, seen seenRow, now time.Time) (Member, bool) {
 	l, err := lease.Decode(r)
 	if err != nil {
 		return Member{}, false
@@ -92,7 +90,7 @@
 	if json.Unmarshal(l.Data, &m) != nil {
 		return Member{}, false
 	}
-	_, before := s.sightings[r.Key]
+	_, before := s.seenRows[r.Key]
 	if !before && !l.Live(now) {
 		return Member{}, false
 	}
@@ -102,9 +100,9 @@
 	return m, true
 }
 
-// preferred reports whether this instance is the one to do the work named
-// key, such as a pool's rollout: the same one everywhere while instances
-// agree on membership. Leases keep the work safe while they do not.
+// preferred reports whether this instance is the one to do the work named key, such as
+// a pool's rollout. It is the same on all instances while they agree on the membership;
+// leases keep the work safe while they do not.
 func (s State) preferred(key string) bool {
 	members := s.View.Routable()
 	i := route.Rendezvous(members, func(m Member) string { return m.ID }, key)
@@ -112,7 +110,7 @@
 }
 
 func (s State) onHeartbeat(e HeartbeatDone) (State, []Effect) {
-	s = s.ended(task{kind: heartbeatTask})
+	s = s.taskEnded(task{kind: heartbeatTask})
 	before := s.member.Fencing != 0
 	s.member = e.Lease
 	if e.Err != nil {
@@ -129,9 +127,9 @@
 
 // onInstances applies changes of the platform's list of upstream instances.
 func (s State) onInstances(e InstancesRead) (State, []Effect) {
-	s = s.ended(task{kind: instancesTask})
+	s = s.taskEnded(task{kind: instancesTask})
 	if e.Err != nil {
-		return s.platformDown(e.Err)
+		return s.platformUnavailable(e.Err)
 	}
 	s.instancesSeq = e.Changes.Sequence
 	if len(e.Changes.Instances) == 0 {
--- a/pkg/control/reduce.go
+++ b/pkg/control/reduce.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Reduce applies ev and returns the new state and what to do. It is the only
-// place where the control state changes.
+// Reduce applies ev and returns the new state and the effects to be carried out. The
+// control state changes nowhere else.
 func Reduce(s State, ev Event) (State, []Effect) {
 	switch e := ev.(type) {
 	case Tick:
@@ -25,7 +25,7 @@
 	case StepsRead:
 		return s.onSteps(e)
 	case StepAccepted:
-		return s.soon(stepsTask), nil
+		return s.makeDue(stepsTask), nil
 	case ShardEnded:
 		return s.onShardEnded(e)
 	case SweepDone:
@@ -33,40 +33,40 @@
 	case DrainStarted:
 		return s.onDrain()
 	case PeerNotified:
-		return s.onHint(e), nil
+		return s.onPeerNotified(e), nil
 	}
 	return s, nil
 }
 
 func (s State) onSweep(e SweepDone) (State, []Effect) {
-	s = s.ended(task{kind: sweepTask})
+	s = s.taskEnded(task{kind: sweepTask})
 	if e.Sent == 0 {
 		return s, nil
 	}
 	return s, []Effect{LogChange{Message: "samples redelivered", Fields: []any{"count", e.Sent}}}
 }
 
-// onDrain tells traffic, peers and, by the next heartbeat, everyone that this
-// instance takes no new callers.
+// onDrain announces to request handlers, to peers and, by the next heartbeat, to all
+// instances that this one accepts no new callers.
 func (s State) onDrain() (State, []Effect) {
 	s.self.Draining = true
 	v := s.View.clone()
 	v.Draining = true
 	s.View = v
-	return s.soon(heartbeatTask), []Effect{PublishView{v}, LogChange{Message: "draining", Fields: []any{"id", s.self.ID}},
+	return s.makeDue(heartbeatTask), []Effect{PublishView{v}, LogChange{Message: "draining", Fields: []any{"id", s.self.ID}},
 		NotifyPeers{Revision: s.revision, Draining: true}}
 }
 
-// onHint makes due at once what the hint says has changed.
-func (s State) onHint(e PeerNotified) State {
+// onPeerNotified makes the reads of what has changed due at once.
+func (s State) onPeerNotified(e PeerNotified) State {
 	if e.Revision > s.revision || e.Draining || e.Changed {
-		s = s.soon(catalogueTask)
+		s = s.makeDue(catalogueTask)
 	}
 	if e.Draining {
-		s = s.soon(membersTask)
+		s = s.makeDue(membersTask)
 	}
 	if e.Steps {
-		s = s.soon(stepsTask)
+		s = s.makeDue(stepsTask)
 	}
 	return s
 }
@@ -100,8 +100,8 @@
 	return s.tickRollouts(now, effs)
 }
 
-// startSweep sweeps, if this instance is the one to: deliveries each time,
-// what is long gone once in a while.
+// startSweep starts a sweep if it is due and this instance is preferred for it.
+// Deliveries are swept each time, records past their retention once per purge period.
 func (s State) startSweep(now time.Time, effs []Effect) (State, []Effect) {
 	s, ok := s.due(sweepTask, now, s.timing.Sweep)
 	if !ok || !s.preferred(SweeperLease) {
@@ -110,15 +110,14 @@
 	if s, ok = s.begin(task{kind: sweepTask}); !ok {
 		return s, effs
 	}
-	sw := Sweep{OlderThan: now.Add(-s.timing.SweepGrace)}
-	s, sw.Purge = s.due(purgeTask, now, s.timing.Purge)
-	return s, append(effs, sw)
+	sweep := Sweep{OlderThan: now.Add(-s.timing.SweepGrace)}
+	s, sweep.Purge = s.due(purgeTask, now, s.timing.Purge)
+	return s, append(effs, sweep)
 }
 
-// reportRound asks for the next reportBudget engines' load reports, round
-// robin, so a node's report reads stay bounded however many engines the
-// catalogue holds; between reads, a node's own requests in flight carry
-// the load signal.
+// reportRound reads the load reports of the next ReportBudget engines, in rotation, so
+// that an instance's reads are bounded however many engines the catalogue holds.
+// Between reads the instance's own requests in flight tell the load.
 func (s State) reportRound(effs []Effect) (State, []Effect) {
 	n := min(s.timing.ReportBudget, len(s.engines))
 	for i := 0; i < n; i++ {
@@ -131,8 +130,7 @@
 	return s, effs
 }
 
-// readReport reads the load report of the engine at addr, unless a read is
-// under way.
+// readReport reads the load report of the engine at addr, unless a read is in progress.
 func (s State) readReport(addr string, effs []Effect) (State, []Effect) {
 	s, ok := s.begin(task{kind: reportTask, name: addr})
 	if !ok {
@@ -141,7 +139,7 @@
 	return s, append(effs, ReadReport{Address: addr})
 }
 
-func (s State) platformDown(err error) (State, []Effect) {
+func (s State) platformUnavailable(err error) (State, []Effect) {
 	if !s.platformOK {
 		return s, nil
 	}
@@ -149,7 +147,7 @@
 	return s, []Effect{LogChange{Message: "platform unreachable; serving last catalogue", Fields: []any{"err", err}}}
 }
 
-func (s State) platformUp() (State, []Effect) {
+func (s State) platformAvailable() (State, []Effect) {
 	if s.platformOK {
 		return s, nil
 	}
@@ -157,6 +155,6 @@
 	return s, []Effect{LogChange{Message: "platform reachable again"}}
 }
 
-// SweeperLease is the lease whose holder clears up after instances that
-// died and work that is over.
+// SweeperLease is the lease whose holder delivers what crashed instances have left and
+// deletes records past their retention.
 const SweeperLease = "lease/sweeper"
--- a/pkg/control/rollout.go
+++ b/pkg/control/rollout.go
@@ -11,21 +11,21 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// poolRollout is the rollout of one pool that this instance runs, with the
-// times of its next steps.
+// poolRollout is a pool's rollout at this instance, with the times at which its
+// periodic work is due.
 type poolRollout struct {
 	weights.Rollout
-	nextLease time.Time
-	nextProbe time.Time // reports of the engines behind
-	nextCheck time.Time // reports of every engine
+	nextLease        time.Time
+	nextOutdatedRead time.Time // next read of the reports of engines without the target version
+	nextPoolRead     time.Time // next read of the reports of all engines of the pool
 }
 
-// tickRollouts runs the rollouts of the pools this instance is preferred
-// for, and gives up those it no longer is.
+// tickRollouts runs the rollouts of the pools that this instance is preferred for, and
+// gives up the others once they have no order outstanding.
 func (s State) tickRollouts(now time.Time, effs []Effect) (State, []Effect) {
 	for _, name := range s.rolloutNames() {
 		p := s.View.Pools[name]
-		pr, preferred := s.rollouts[name], s.rolling[name]
+		pr, preferred := s.rollouts[name], s.preferredRollouts[name]
 		cfg := s.timing.Rollout
 		cfg.MaxLoading = p.LoadingBudget()
 		pr.Rollout.Config = cfg
@@ -33,7 +33,7 @@
 		pr.Rollout, _ = pr.Reduce(weights.TargetChanged{Version: s.View.Targets[name].Version})
 		if pr.Idle() && (!preferred || pr.Converged()) && pr.Fencing != 0 {
 			pr.Rollout, _ = pr.Reduce(weights.LeaseLost{})
-			pr.nextLease = time.Time{} // the next version need not wait
+			pr.nextLease = time.Time{} // the next target version need not wait for the renewal period
 			effs = append(effs, ReleaseRolloutLease{Pool: name})
 		}
 		if !preferred && pr.Idle() {
@@ -47,12 +47,12 @@
 	return s, effs
 }
 
-// rolloutNames returns the pools whose rollout this instance runs or should
-// run, sorted.
+// rolloutNames returns the pools whose rollout this instance runs or is preferred for,
+// sorted.
 func (s State) rolloutNames() []string {
-	names := slices.Collect(maps.Keys(s.rolling))
+	names := slices.Collect(maps.Keys(s.preferredRollouts))
 	for name := range s.rollouts {
-		if !s.rolling[name] {
+		if !s.preferredRollouts[name] {
 			names = append(names, name)
 		}
 	}
@@ -60,23 +60,23 @@
 	return names
 }
 
-// choosePools finds the pools whose rollout this instance is preferred for.
-// It is called when the membership, the catalogue or a target changed.
-func (s State) choosePools() State {
-	s.rolling = map[string]bool{}
+// choosePreferredRollouts determines the pools whose rollout this instance is preferred
+// for. It must be called when the membership, the catalogue or a target has changed.
+func (s State) choosePreferredRollouts() State {
+	s.preferredRollouts = map[string]bool{}
 	for name := range s.View.Targets {
 		if p, ok := s.View.Pools[name]; ok && p.Kind == catalogue.Engines && s.preferred("rollout/"+name) {
-			s.rolling[name] = true
+			s.preferredRollouts[name] = true
 		}
 	}
 	return s
 }
 
-// stepRollout takes the lease while engines are behind, sends the orders
-// due and reads the reports due.
+// stepRollout acquires or renews the lease while engines are outdated, sends the orders
+// that are due and reads the reports that are due.
 func (s State) stepRollout(name string, pr poolRollout, preferred bool, now time.Time, effs []Effect) (State, poolRollout, []Effect) {
-	behind := pr.Outdated()
-	if preferred && len(behind) > 0 && !now.Before(pr.nextLease) {
+	outdated := pr.Outdated()
+	if preferred && len(outdated) > 0 && !now.Before(pr.nextLease) {
 		var ok bool
 		if s, ok = s.begin(task{kind: rolloutTask, name: name}); ok {
 			pr.nextLease = now.Add(s.timing.RolloutRenew)
@@ -88,22 +88,22 @@
 	for _, o := range orders {
 		effs = append(effs, SendOrder{Pool: name, Order: o})
 	}
-	var probes []string
+	var addrs []string
 	switch {
-	case !now.Before(pr.nextCheck):
-		pr.nextCheck, pr.nextProbe = now.Add(s.timing.RolloutCheck), now.Add(s.timing.RolloutProbe)
-		probes = slices.Sorted(maps.Keys(pr.Engines))
-	case !now.Before(pr.nextProbe):
-		pr.nextProbe = now.Add(s.timing.RolloutProbe)
-		probes = behind
+	case !now.Before(pr.nextPoolRead):
+		pr.nextPoolRead, pr.nextOutdatedRead = now.Add(s.timing.RolloutCheck), now.Add(s.timing.RolloutProbe)
+		addrs = slices.Sorted(maps.Keys(pr.Engines))
+	case !now.Before(pr.nextOutdatedRead):
+		pr.nextOutdatedRead = now.Add(s.timing.RolloutProbe)
+		addrs = outdated
 	}
-	s, effs = s.probe(probes, pr, effs)
+	s, effs = s.readReports(addrs, pr, effs)
 	return s, pr, effs
 }
 
-// probe reads the load reports of the engines at addrs that have no order
+// readReports reads the load reports of the engines at addrs that have no order
 // outstanding.
-func (s State) probe(addrs []string, pr poolRollout, effs []Effect) (State, []Effect) {
+func (s State) readReports(addrs []string, pr poolRollout, effs []Effect) (State, []Effect) {
 	for _, a := range addrs {
 		if pr.Engines[a].OrderDeadline.IsZero() {
 			s, effs = s.readReport(a, effs)
@@ -122,7 +122,7 @@
 }
 
 func (s State) onRolloutLease(e RolloutLeaseDone) (State, []Effect) {
-	s = s.ended(task{kind: rolloutTask, name: e.Pool})
+	s = s.taskEnded(task{kind: rolloutTask, name: e.Pool})
 	pr, ok := s.rollouts[e.Pool]
 	if !ok {
 		return s, nil
@@ -154,11 +154,11 @@
 	return s, nil
 }
 
-// onReport keeps an engine's load report and tells the rollouts it is in.
+// onReport stores an engine's load report and passes it to the rollouts of its pools.
 func (s State) onReport(e ReportRead) (State, []Effect) {
-	s = s.ended(task{kind: reportTask, name: e.Address})
+	s = s.taskEnded(task{kind: reportTask, name: e.Address})
 	if e.Err != nil {
-		return s, nil // a missing report leaves the last one, which ages
+		return s, nil // the last report stays in place
 	}
 	effs := []Effect{StoreReport{Address: e.Address, Report: e.Report}}
 	for _, name := range s.poolsOf[e.Address] {
--- a/pkg/control/state.go
+++ b/pkg/control/state.go
@@ -10,52 +10,52 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// Timing holds the periods of the control loop.
+// Timing holds the periods of the state machine.
 type Timing struct {
-	Refresh      time.Duration // catalogue revision and membership reads
-	FullScan     time.Duration // a whole catalogue read even if unchanged
-	LeaseTTL     time.Duration // of memberships, at least
-	ShardTTL     time.Duration // of step shards' leases, at least
-	Reports      time.Duration // period of load report rounds
-	ReportBudget int           // load report reads per round, at most
+	Refresh      time.Duration // period of reading the catalogue revision and the membership
+	FullScan     time.Duration // period of reading the whole catalogue, changed or not
+	LeaseTTL     time.Duration // least time to live of membership leases
+	ShardTTL     time.Duration // least time to live of step shards' leases
+	Reports      time.Duration // period of reading load reports
+	ReportBudget int           // load reports read per period, at most
 	Sweep        time.Duration // period of delivery sweeps
-	SweepGrace   time.Duration // age before a record is swept
-	Purge        time.Duration // period of removing what is long gone
-	Steps        time.Duration // period of reading the steps kept
+	SweepGrace   time.Duration // age from which on a delivery record is swept
+	Purge        time.Duration // period of deleting records past their retention
+	Steps        time.Duration // period of reading the stored steps
 	Rollout      weights.Config
-	RolloutRenew time.Duration // period of taking a rollout lease again
-	RolloutProbe time.Duration // period of reading the reports of engines behind
-	RolloutCheck time.Duration // period of reading the reports of all a pool's engines
+	RolloutRenew time.Duration // period of renewing a rollout lease
+	RolloutProbe time.Duration // period of reading the reports of engines without the target version
+	RolloutCheck time.Duration // period of reading the reports of all engines of a pool
 }
 
-// State is the control state. Reduce returns a new one and leaves the old one as
-// it is.
+// State is the state of the machine. Reduce returns a new one and does not modify the
+// old.
 type State struct {
 	self   Member
 	timing Timing
-	View   *View // what traffic reads
-	// pending holds the work under way, so that none is doubled, and next
-	// says when periodic work is due.
+	View   *View // what request handlers read
+	// pending holds the tasks in progress, so that none is started twice. next holds
+	// the times at which periodic tasks are due.
 	pending map[task]bool
 	next    map[taskKind]time.Time
 
-	member         lease.Lease // this instance's membership lease; zero if not held
-	platformOK     bool
-	revision       uint64                 // highest catalogue row version applied
-	revisionRow    uint64                 // version of the revision row last applied
-	revisionNumber uint64                 // number of the revision last applied
-	engines        []string               // every engine address in the catalogue, sorted
-	poolsOf        map[string][]string    // engine address → its pools
-	reportCursor   int                    // next index into engines to read a report of
-	sightings      map[string]sighting    // member row key → its last change
-	rollouts       map[string]poolRollout // pools whose rollout this instance runs
-	rolling        map[string]bool        // pools whose rollout it should run
-	instancesSeq   uint64                 // sequence number of the instance list applied
-	stepsSeen      map[string]bool        // open steps seen, by step.Key
-	shards         map[ShardID]bool       // step shards this instance runs or waits to run
+	member            lease.Lease // this instance's membership lease; zero if not held
+	platformOK        bool
+	revision          uint64                 // highest catalogue row version applied
+	revisionRow       uint64                 // version of the revision row last applied
+	revisionNumber    uint64                 // revision number last applied
+	engines           []string               // addresses of all engines in the catalogue, sorted
+	poolsOf           map[string][]string    // engine address → its pools
+	reportCursor      int                    // index in engines of the next report to read
+	seenRows          map[string]seenRow     // key of a member's row → its version when last read
+	rollouts          map[string]poolRollout // pools whose rollout this instance runs
+	preferredRollouts map[string]bool        // pools whose rollout it is preferred for
+	instancesSeq      uint64                 // sequence number of the instance list last applied
+	stepsSeen         map[string]bool        // open steps seen at the last read, by step.Key
+	shards            map[ShardID]bool       // step shards that this instance runs or has been asked to run
 }
 
-// New returns the state of the instance self, which knows nothing yet.
+// New returns the initial state of the instance self.
 func New(self Member, t Timing) State {
 	return State{
 		self:   self,
@@ -69,10 +69,10 @@
 	}
 }
 
-// taskKind is a kind of work that the control loop starts.
+// taskKind is a kind of work that the state machine starts.
 type taskKind int
 
-// The kinds of work; those up to purgeTask are periodic.
+// The kinds of tasks; those up to purgeTask are periodic.
 const (
 	catalogueTask taskKind = iota
 	fullScanTask
@@ -83,18 +83,18 @@
 	stepsTask
 	sweepTask
 	purgeTask
-	reportTask  // of the engine named
-	rolloutTask // taking the rollout lease of the pool named
+	reportTask  // reads the load report of the engine named
+	rolloutTask // acquires or renews the rollout lease of the pool named
 )
 
-// task is a piece of work under way.
+// task is a task in progress.
 type task struct {
 	kind taskKind
-	name string // of what it is about; empty for periodic work
+	name string // engine address or pool; empty for periodic tasks
 }
 
-// due reports whether periodic work of kind k is due at now, and if so makes
-// it due again after period.
+// due reports whether the periodic task k is due at now, and if so makes it due again
+// after period.
 func (s State) due(k taskKind, now time.Time, period time.Duration) (State, bool) {
 	if now.Before(s.next[k]) {
 		return s, false
@@ -104,15 +104,15 @@
 	return s, true
 }
 
-// soon makes periodic work of kind k due at once.
-func (s State) soon(k taskKind) State {
+// makeDue makes the periodic task k due at once.
+func (s State) makeDue(k taskKind) State {
 	s.next = maps.Clone(s.next)
 	delete(s.next, k)
 	return s
 }
 
-// begin marks t as under way until its event comes, or reports false if it
-// is already.
+// begin marks t as in progress until its event arrives. It reports false if t is in
+// progress already.
 func (s State) begin(t task) (State, bool) {
 	if s.pending[t] {
 		return s, false
@@ -122,7 +122,7 @@
 	return s, true
 }
 
-// beginDue begins periodic work of kind k if it is due and not under way.
+// beginDue begins the periodic task k if it is due and not in progress.
 func (s State) beginDue(k taskKind, now time.Time, period time.Duration) (State, bool) {
 	if s.pending[task{kind: k}] {
 		return s, false
@@ -134,8 +134,8 @@
 	return s.begin(task{kind: k})
 }
 
-// ended marks t as no longer under way.
-func (s State) ended(t task) State {
+// taskEnded marks t as no longer in progress.
+func (s State) taskEnded(t task) State {
 	s.pending = maps.Clone(s.pending)
 	delete(s.pending, t)
 	return s
--- a/pkg/control/steps.go
+++ b/pkg/control/steps.go
@@ -8,15 +8,15 @@
 	"github.com/zinnialadder/zinnialadder/pkg/step"
 )
 
-// onSteps runs the shards of open steps that this instance is preferred
-// for, and passes word of steps it had not seen on to its peers.
+// onSteps runs the shards of open steps that this instance is preferred for, and
+// notifies its peers of steps that it had not seen.
 func (s State) onSteps(e StepsRead) (State, []Effect) {
-	s = s.ended(task{kind: stepsTask})
+	s = s.taskEnded(task{kind: stepsTask})
 	if e.Err != nil {
-		return s.platformDown(e.Err)
+		return s.platformUnavailable(e.Err)
 	}
 	var effs []Effect
-	fresh := false
+	hasNew := false
 	ttl := leaseTTL(openShards(e.Heads), s.timing.ShardTTL)
 	seen := map[string]bool{}
 	for _, key := range slices.Sorted(maps.Keys(e.Heads)) {
@@ -25,17 +25,17 @@
 			continue
 		}
 		seen[key] = true
-		fresh = fresh || !s.stepsSeen[key]
+		hasNew = hasNew || !s.stepsSeen[key]
 		s, effs = s.startShards(key, head, ttl, effs)
 	}
 	s.stepsSeen = seen
-	if fresh {
+	if hasNew {
 		effs = append(effs, NotifyPeers{Revision: s.revision, Draining: s.self.Draining, Steps: true})
 	}
 	return s, effs
 }
 
-// openShards returns how many shards the open steps of heads have.
+// openShards returns the number of shards of all open steps in heads.
 func openShards(heads map[string]step.Head) int {
 	n := 0
 	for _, head := range heads {
