--- a/pkg/catalogue/catalogue.go
+++ b/pkg/catalogue/catalogue.go
@@ -1,7 +1,7 @@
-// Package catalogue holds the operators' catalogue: entries, each with an
-// owner, a class and limits, and the pools of upstreams they are served by.
-// The catalogue lives in the platform's table, one row per entry or pool;
-// every accepted edit is a compare-and-set that also writes an audit record.
+// Package catalogue holds the operators' catalogue: entries, each with an owner, a
+// class and limits, and the pools of upstreams that serve them. The catalogue is kept
+// in the platform's table, one row per entry or pool. Every accepted edit is a
+// compare-and-set that also writes an audit record.
 package catalogue
 
 import (
@@ -11,14 +11,15 @@
 	"github.com/zinnialadder/zinnialadder/pkg/engine"
 )
 
-// Class says who calls an entry and so how its requests are ranked.
+// Class is the kind of an entry's callers. It determines the priority of their
+// requests.
 type Class string
 
-// The classes of the brief's callers.
+// The classes of callers.
 const (
-	Interactive Class = "interactive" // desk agents and families on live calls
-	Background  Class = "background"  // internal services: ledger sync, merge checks
-	Training    Class = "training"    // trainers' rollouts; answers become samples
+	Interactive Class = "interactive" // people who wait for the answer
+	Background  Class = "background"  // internal services, such as batch checks
+	Training    Class = "training"    // trainers; answers become samples
 )
 
 // Priority returns the engine priority of requests of class c.
@@ -33,7 +34,7 @@
 	}
 }
 
-// Kind is the kind of upstream a pool holds.
+// Kind is the kind of a pool's upstreams.
 type Kind string
 
 // The kinds of upstream.
@@ -42,40 +43,40 @@
 	Services Kind = "services" // plain services
 )
 
-// Limits bound the use of one entry.
+// Limits are the limits of one entry.
 type Limits struct {
-	MaxInFlight int `json:"max_in_flight"` // requests at once, per entry instance
+	MaxInFlight int `json:"max_in_flight"` // requests in flight, per entry instance
 	MaxTokens   int `json:"max_tokens"`    // tokens per generation
 }
 
 // Entry is one catalogue entry.
 type Entry struct {
 	Name    string `json:"name"`
-	Owner   string `json:"owner"` // the customer whose callers may use it
+	Owner   string `json:"owner"` // customer whose callers may use the entry
 	Class   Class  `json:"class"`
 	Pool    string `json:"pool"`
 	Limits  Limits `json:"limits"`
-	Trainer string `json:"trainer,omitempty"` // address samples go to, for Training
-	// MaxVersionLag is how many weight versions behind the pool's newest
-	// a sample's oldest version may be: 1 allows the previous version.
+	Trainer string `json:"trainer,omitempty"` // address that samples are delivered to, for Training
+	// MaxVersionLag is how many weight versions the oldest version of a sample may be
+	// behind the newest version of the pool. 1 allows the previous version.
 	MaxVersionLag uint64 `json:"max_version_lag"`
-	Generation    uint64 `json:"generation"`        // edits accepted so far
-	Removed       bool   `json:"removed,omitempty"` // see Remove
+	Generation    uint64 `json:"generation"`        // number of accepted edits
+	Removed       bool   `json:"removed,omitempty"` // set by Remove
 }
 
-// Customer bounds a customer's use over all its entries. A customer without
-// one is bounded by its entries' limits alone.
+// Customer limits a customer's use over all its entries. A customer that is not in the
+// catalogue is limited by its entries' limits alone.
 type Customer struct {
 	Name        string `json:"name"`
-	MaxInFlight int    `json:"max_in_flight"` // requests at once, per entry instance
-	// KeyDigests are the SHA-256 digests of its API keys, in hexadecimal. With none,
-	// callers need no key.
+	MaxInFlight int    `json:"max_in_flight"` // requests in flight, per entry instance
+	// KeyDigests are the SHA-256 digests of the customer's API keys, in hexadecimal. If
+	// there are none, callers need no key.
 	KeyDigests []string `json:"key_digests,omitempty"`
 	Generation uint64   `json:"generation"`
-	Removed    bool     `json:"removed,omitempty"` // see Remove
+	Removed    bool     `json:"removed,omitempty"` // set by Remove
 }
 
-// Check reports the first problem with c, naming the field.
+// Check returns an error for the first invalid field of c.
 func (c Customer) Check() error {
 	if !namePattern.MatchString(c.Name) {
 		return fmt.Errorf("customer name %q: want lower-case letters, digits, '-' or '_'", c.Name)
@@ -86,26 +87,25 @@
 	return c.checkKeys()
 }
 
-// UpstreamState says whether an upstream takes new work.
+// UpstreamState says whether an upstream accepts new work.
 type UpstreamState string
 
 // The states of an upstream.
 const (
 	Live    UpstreamState = "live"
-	Leaving UpstreamState = "leaving" // finishing its work; takes no new work
+	Leaving UpstreamState = "leaving" // draining: finishes its work and accepts no new work
 )
 
-// Upstream is one engine or service instance.
+// Upstream is one engine or service process.
 type Upstream struct {
 	Address    string        `json:"address"`
 	DataCentre string        `json:"data_centre"`
 	State      UpstreamState `json:"state"`
-	// LegacyManaged marks an engine that the older rollout system still
-	// gives orders to: requests are routed to it, orders are not.
+	// LegacyManaged marks an engine that gets its load orders from the older rollout
+	// system. Requests are sent to it, load orders are not.
 	LegacyManaged bool `json:"older_system,omitempty"`
-	// MaxInFlight is how many requests the whole system may have in flight
-	// at the upstream, so that another system sharing it keeps the rest; 0
-	// for no limit.
+	// MaxInFlight is how many requests all instances together may have in flight at the
+	// upstream, so that another system that shares it has the rest; 0 for no limit.
 	MaxInFlight int `json:"max_in_flight,omitempty"`
 }
 
@@ -114,15 +114,15 @@
 	Name      string     `json:"name"`
 	Kind      Kind       `json:"kind"`
 	Upstreams []Upstream `json:"upstreams"`
-	// MaxLoading is how many engines may load a weight version at once,
-	// and so be unavailable; 0 takes the default, see LoadingBudget.
+	// MaxLoading is how many engines may load a weight version at once and so be
+	// unavailable; 0 for the default, see LoadingBudget.
 	MaxLoading int    `json:"max_loading,omitempty"`
 	Generation uint64 `json:"generation"`
-	Removed    bool   `json:"removed,omitempty"` // see Remove
+	Removed    bool   `json:"removed,omitempty"` // set by Remove
 }
 
-// LoadingBudget returns how many of p's engines may load at once:
-// MaxLoading, or by default a third of them, at least one.
+// LoadingBudget returns how many of p's engines may load at once: MaxLoading, or by
+// default a third of them, at least one.
 func (p Pool) LoadingBudget() int {
 	if p.MaxLoading > 0 {
 		return p.MaxLoading
@@ -130,8 +130,8 @@
 	return max(1, len(p.Upstreams)/3)
 }
 
-// LoadableEngines returns the addresses of the engines of p that may be ordered
-// to load weights.
+// LoadableEngines returns the addresses of p's engines to which load orders may be
+// sent.
 func (p Pool) LoadableEngines() []string {
 	var out []string
 	for _, u := range p.Upstreams {
@@ -144,7 +144,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9_-]{0,62}$`)
 
-// Check reports the first problem with e, naming the field.
+// Check returns an error for the first invalid field of e.
 func (e Entry) Check() error {
 	switch {
 	case !namePattern.MatchString(e.Name):
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// Check reports the first problem with p, naming the field.
+// Check returns an error for the first invalid field of p.
 func (p Pool) Check() error {
 	if !namePattern.MatchString(p.Name) {
 		return fmt.Errorf("pool name %q: want lower-case letters, digits, '-' or '_'", p.Name)
--- a/pkg/catalogue/catalogue_test.go
+++ b/pkg/catalogue/catalogue_test.go
@@ -26,9 +26,9 @@
 		Limits: catalogue.Limits{MaxInFlight: limit, MaxTokens: 1}}
 }
 
-// Operators racing on one entry: each edit is accepted or refused as a
-// conflict that wrote nothing; the accepted ones form an unbroken audit
-// chain, and the entry as stored is the last one accepted.
+// Operators edit one entry concurrently. Each edit is accepted, or refused as a
+// conflict that wrote nothing. The accepted ones must form an unbroken chain of audit
+// records, and the stored entry must be the last one accepted.
 func TestRacingOperatorsKeepOneHistory(t *testing.T) {
 	srv := httptest.NewServer(platformtest.New().Handler())
 	defer srv.Close()
@@ -46,8 +46,8 @@
 		for op := 0; op < operators; op++ {
 			g.Go(func() error {
 				for i := 0; i < edits; i++ {
-					// Each edit raises the limit it read by one, so a lost
-					// update shows in the final value.
+					// Each edit increments the limit that it read, so a lost update
+					// shows in the final value.
 					v, expect := e, uint64(0)
 					v.Limits.MaxInFlight = 0
 					if row, err := c.Get(context.Background(), key); err == nil {
@@ -79,19 +79,19 @@
 		var final catalogue.Entry
 		_ = json.Unmarshal(row.Value, &final)
 		if final.Limits.MaxInFlight != total {
-			rt.Fatalf("limit %d after %d accepted increments: an update was lost", final.Limits.MaxInFlight, total)
+			rt.Fatalf("limit = %d after %d accepted increments: an update was lost", final.Limits.MaxInFlight, total)
 		}
 	})
 }
 
-// checkChain checks the audit records of key against the stored row.
+// checkChain checks the audit records of key against its stored row.
 func checkChain(t *rapid.T, c *platform.Client, key string, accepted int) {
 	rows, err := c.Scan(context.Background(), catalogue.AuditPrefix+key+"/")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(rows) != accepted {
-		t.Fatalf("%d audit records for %d accepted edits", len(rows), accepted)
+		t.Fatalf("%d audit records, want %d, one for each accepted edit", len(rows), accepted)
 	}
 	prev := ""
 	for i, r := range rows {
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		if ch.Generation != uint64(i+1) || ch.Before != prev {
-			t.Fatalf("record %d: generation %d, before %q, want %d after the previous %q", i, ch.Generation, ch.Before, i+1, prev)
+			t.Fatalf("record %d: generation, before = %d, %q; want %d, %q", i, ch.Generation, ch.Before, i+1, prev)
 		}
 		prev = ch.After
 	}
@@ -109,12 +109,12 @@
 		t.Fatal(err)
 	}
 	if string(row.Value) != prev {
-		t.Fatalf("stored %s, last accepted %s", row.Value, prev)
+		t.Fatalf("stored value = %s, want the last accepted, %s", row.Value, prev)
 	}
 }
 
-// A pool goes only once no entry uses it, also when an entry is added while
-// it is being removed; what is removed stays removed and can be added again.
+// A pool can be removed only when no entry uses it, also if an entry is added during
+// the removal. A removed item stays removed until it is added again.
 func TestRemoveRefusesAPoolInUse(t *testing.T) {
 	srv := httptest.NewServer(platformtest.New().Handler())
 	defer srv.Close()
@@ -135,22 +135,22 @@
 		t.Fatalf("removing the pool once unused: %v", err)
 	}
 	if err := remove(catalogue.PoolPrefix + "desk-app"); err == nil {
-		t.Fatal("removed twice")
+		t.Fatal("removing a removed pool returned no error")
 	}
 	changes, err := catalogue.Audit(ctx, c, "")
 	if err != nil || len(changes) != 4 {
-		t.Fatalf("audit holds %d changes (%v), want 4", len(changes), err)
+		t.Fatalf("Audit returned %d changes and error %v, want 4", len(changes), err)
 	}
 	if _, err := catalogue.Sync(ctx, c, f, "ana", time.Now()); err != nil {
-		t.Fatalf("adding again: %v", err)
+		t.Fatalf("Sync after the removal: %v", err)
 	}
 	snap, err := catalogue.Read(ctx, c)
 	if err != nil || snap.Entries["balance-lookup"].Removed || snap.Pools["desk-app"].Removed {
-		t.Fatalf("not added again: %+v %v", snap, err)
+		t.Fatalf("items still removed after Sync: %+v, error %v", snap, err)
 	}
 }
 
-// A change whose reply is lost after it took effect is reported as accepted.
+// A change whose response is lost after it was applied must be reported as accepted.
 func TestChangeWithLostReplyIsConfirmed(t *testing.T) {
 	p := platformtest.New()
 	srv := httptest.NewServer(p.Handler())
@@ -160,6 +160,6 @@
 	e := entry(1)
 	row, err := catalogue.Apply(context.Background(), c, catalogue.Edit{Key: catalogue.EntryPrefix + e.Name, Value: e, Author: "ana", At: time.Now()})
 	if err != nil || row.Version == 0 {
-		t.Fatalf("accepted change reported as %v (row %+v)", err, row)
+		t.Fatalf("Apply returned error %v and row %+v, want no error and a row version", err, row)
 	}
 }
--- a/pkg/catalogue/file.go
+++ b/pkg/catalogue/file.go
@@ -18,8 +18,8 @@
 	Customers []Customer `json:"customers"`
 }
 
-// Check reports the first problem with f: a bad item, a repeated name, or
-// an entry whose pool is not in f.
+// Check returns an error for the first problem in f: an invalid item, a duplicate name,
+// or an entry whose pool is not in f.
 func (f File) Check() error {
 	pools := map[string]bool{}
 	for _, p := range f.Pools {
@@ -27,7 +27,7 @@
 			return err
 		}
 		if pools[p.Name] {
-			return fmt.Errorf("pool %s is given twice", p.Name)
+			return fmt.Errorf("pool %s is listed twice", p.Name)
 		}
 		pools[p.Name] = true
 	}
@@ -37,7 +37,7 @@
 			return err
 		}
 		if customers[c.Name] {
-			return fmt.Errorf("customer %s is given twice", c.Name)
+			return fmt.Errorf("customer %s is listed twice", c.Name)
 		}
 		customers[c.Name] = true
 	}
@@ -47,7 +47,7 @@
 			return err
 		}
 		if entries[e.Name] {
-			return fmt.Errorf("entry %s is given twice", e.Name)
+			return fmt.Errorf("entry %s is listed twice", e.Name)
 		}
 		entries[e.Name] = true
 		if !pools[e.Pool] {
@@ -57,17 +57,17 @@
 	return nil
 }
 
-// SyncResult is what Sync did with one item.
+// SyncResult is the outcome of Sync for one item.
 type SyncResult struct {
 	Key     string
 	Changed bool
-	Version uint64 // row version now
+	Version uint64 // version of the row after Sync
 }
 
-// Sync makes the table hold every item of f, changing only those that
-// differ, each by a compare-and-set on the version it read. It stops at the
-// first failure, which may be ErrConflict if another operator got there
-// between the read and the write.
+// Sync makes the table contain every item of f. It changes only the items that differ,
+// each by a compare-and-set on the version it read. It stops at the first failure,
+// which is ErrConflict if another operator changed an item between the read and the
+// write, and returns the items done so far.
 func Sync(ctx context.Context, c *platform.Client, f File, author string, now time.Time) ([]SyncResult, error) {
 	type item struct {
 		key   string
@@ -100,7 +100,7 @@
 		return SyncResult{}, err
 	}
 	if err == nil {
-		v = withKeys(v, row.Value)
+		v = withStoredKeys(v, row.Value)
 	}
 	if err == nil && sameItem(row.Value, v) {
 		return SyncResult{Key: key, Version: row.Version}, nil
@@ -112,19 +112,19 @@
 	return SyncResult{Key: key, Changed: true, Version: got.Version}, nil
 }
 
-// withKeys returns a customer from a file without keys with those that are stored:
-// keys are added and taken away apart from files.
-func withKeys(v any, stored json.RawMessage) any {
+// withStoredKeys returns a customer that has no keys in the file with the keys that are
+// stored for it: keys are added and removed by AddKey and RemoveKey.
+func withStoredKeys(v any, storedValue json.RawMessage) any {
 	c, ok := v.(Customer)
-	var was Customer
-	if !ok || len(c.KeyDigests) > 0 || json.Unmarshal(stored, &was) != nil {
+	var previous Customer
+	if !ok || len(c.KeyDigests) > 0 || json.Unmarshal(storedValue, &previous) != nil {
 		return v
 	}
-	c.KeyDigests = was.KeyDigests
+	c.KeyDigests = previous.KeyDigests
 	return c
 }
 
-// sameItem reports whether stored equals v but for its generation.
+// sameItem reports whether the stored value equals v, except for the generation.
 func sameItem(stored json.RawMessage, v any) bool {
 	fresh := reflect.New(reflect.TypeOf(v))
 	if json.Unmarshal(stored, fresh.Interface()) != nil {
@@ -138,10 +138,11 @@
 	return reflect.DeepEqual(got.Interface(), want.Interface())
 }
 
-// SetUpstreamState changes the state of the upstream at addr in pool, by a
-// compare-and-set on the pool's row, retrying when another edit won.
+// SetUpstreamState sets the state of the upstream at addr in a pool by a
+// compare-and-set on the pool's row, and retries when another edit came first. It
+// returns the changed pool.
 func SetUpstreamState(ctx context.Context, c *platform.Client, pool, addr string, st UpstreamState, author string, now time.Time) (Pool, error) {
-	return edit(ctx, c, PoolPrefix+pool, author, now, func(p *Pool) error {
+	return editItem(ctx, c, PoolPrefix+pool, author, now, func(p *Pool) error {
 		found := false
 		for j := range p.Upstreams {
 			if p.Upstreams[j].Address == addr {
--- a/pkg/catalogue/keys.go
+++ b/pkg/catalogue/keys.go
@@ -14,22 +14,23 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// minDigest is how much of a key's digest names it, in hexadecimal digits.
-const minDigest = 8
+// minDigestPrefix is the least length of a digest's prefix that identifies a key, in
+// hexadecimal digits.
+const minDigestPrefix = 8
 
-// KeyDigest returns the digest by which a customer's key is kept.
+// KeyDigest returns the digest that is stored for a key, in hexadecimal.
 func KeyDigest(key string) string {
 	d := customer.DigestOf(key)
 	return hex.EncodeToString(d[:])
 }
 
-// AcceptsKey reports whether a caller with key may act for c: a customer that has no
-// keys needs none.
+// AcceptsKey reports whether a caller with key may act for c. A customer without keys
+// accepts any caller.
 func (c Customer) AcceptsKey(key string) bool {
 	return len(c.KeyDigests) == 0 || slices.Contains(c.KeyDigests, KeyDigest(key))
 }
 
-// checkKeys reports the first problem with the digests of c's keys.
+// checkKeys returns an error if one of c's key digests is malformed.
 func (c Customer) checkKeys() error {
 	for _, d := range c.KeyDigests {
 		if raw, err := hex.DecodeString(d); err != nil || len(raw) != len(customer.Digest{}) {
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// AddKey gives a customer one more key.
+// AddKey adds a key to a customer.
 func AddKey(ctx context.Context, c *platform.Client, name, key, author string, now time.Time) error {
 	return editKeys(ctx, c, name, author, now, func(cu *Customer) error {
 		if d := KeyDigest(key); !slices.Contains(cu.KeyDigests, d) {
@@ -49,40 +50,40 @@
 	})
 }
 
-// RemoveKey takes the key whose digest begins so from a customer. The last one stays,
-// as a customer without keys needs none.
+// RemoveKey removes the keys of a customer whose digests begin with digest. The last
+// key cannot be removed, because callers of a customer without keys need none.
 func RemoveKey(ctx context.Context, c *platform.Client, name, digest, author string, now time.Time) error {
 	return editKeys(ctx, c, name, author, now, func(cu *Customer) error {
-		begins := func(d string) bool { return strings.HasPrefix(d, digest) }
+		hasPrefix := func(d string) bool { return strings.HasPrefix(d, digest) }
 		switch {
-		case len(digest) < minDigest:
-			return fmt.Errorf("customer %s: digest %q: want %d digits at the least", name, digest, minDigest)
-		case !slices.ContainsFunc(cu.KeyDigests, begins):
+		case len(digest) < minDigestPrefix:
+			return fmt.Errorf("customer %s: digest %q: want at least %d digits", name, digest, minDigestPrefix)
+		case !slices.ContainsFunc(cu.KeyDigests, hasPrefix):
 			return fmt.Errorf("customer %s has no key with digest %s", name, digest)
 		case len(cu.KeyDigests) == 1:
-			return fmt.Errorf("customer %s: its last key stays, as callers would need none then: add another first", name)
+			return fmt.Errorf("customer %s: the last key cannot be removed, as callers would need none: add another key first", name)
 		}
-		cu.KeyDigests = slices.DeleteFunc(cu.KeyDigests, begins)
+		cu.KeyDigests = slices.DeleteFunc(cu.KeyDigests, hasPrefix)
 		return nil
 	})
 }
 
 func editKeys(ctx context.Context, c *platform.Client, name, author string, now time.Time, change func(*Customer) error) error {
-	_, err := edit(ctx, c, CustomerPrefix+name, author, now, change)
+	_, err := editItem(ctx, c, CustomerPrefix+name, author, now, change)
 	if errors.Is(err, platform.ErrNotFound) {
 		return fmt.Errorf("no customer %s in the catalogue", name)
 	}
 	return err
 }
 
-// editTries is how often a change is tried again when another edit won.
-const editTries = 5
+// maxEditAttempts is how often an edit is attempted while others change the item.
+const maxEditAttempts = 5
 
-// edit changes the item at key by a compare-and-set on its row, again when another
-// edit won. It returns the item as changed.
-func edit[T any](ctx context.Context, c *platform.Client, key, author string, now time.Time, change func(*T) error) (T, error) {
+// editItem changes the item at key by a compare-and-set on its row, and retries when
+// another edit came first. It returns the changed item.
+func editItem[T any](ctx context.Context, c *platform.Client, key, author string, now time.Time, change func(*T) error) (T, error) {
 	var none T
-	for range editTries {
+	for range maxEditAttempts {
 		row, err := c.Get(ctx, key)
 		if err != nil {
 			return none, fmt.Errorf("%s: %w", key, err)
@@ -100,5 +101,5 @@
 		}
 		return item, err
 	}
-	return none, fmt.Errorf("%s: %w after %d tries", key, ErrConflict, editTries)
+	return none, fmt.Errorf("%s: %w in each of %d attempts", key, ErrConflict, maxEditAttempts)
 }
--- a/pkg/catalogue/keys_test.go
+++ b/pkg/catalogue/keys_test.go
@@ -15,9 +15,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform/platformtest"
 )
 
-// Keys are added and taken away by racing operators, kept by files that say nothing of
-// them, audited by their digests, and the last one and its customer stay while entries
-// would be open to all without it.
+// Operators add and remove keys concurrently. Files that contain no keys leave them in
+// place, the audit trail has their digests only, and the last key and its customer
+// cannot be removed while entries would be open to all callers without it.
 func TestKeys(t *testing.T) {
 	srv := httptest.NewServer(platformtest.New().Handler())
 	defer srv.Close()
@@ -41,10 +41,10 @@
 	}
 	sync()
 	if !stored().AcceptsKey("") {
-		t.Error("a key is needed before there is one")
+		t.Error("customer without keys refuses callers without a key")
 	}
 	if err := catalogue.AddKey(ctx, c, "nobody", "first-key", "ana", now); err == nil {
-		t.Error("a key was added to a customer that does not exist")
+		t.Error("AddKey for a missing customer returned no error")
 	}
 	var adding errgroup.Group
 	for _, key := range []string{"first-key", "second-key"} {
@@ -55,7 +55,7 @@
 	}
 	sync()
 	if cu := stored(); !cu.AcceptsKey("first-key") || !cu.AcceptsKey("second-key") || cu.AcceptsKey("") || cu.AcceptsKey(cu.KeyDigests[0]) {
-		t.Errorf("keys %v", cu.KeyDigests)
+		t.Errorf("key digests = %v, want those of both keys and no other", cu.KeyDigests)
 	}
 	if err := catalogue.Remove(ctx, c, catalogue.CustomerPrefix+owner, "rui", now); !errors.Is(err, catalogue.ErrInUse) {
 		t.Errorf("removing a customer with keys that owns an entry: %v, want ErrInUse", err)
@@ -66,23 +66,23 @@
 	}
 	for _, digest := range []string{second, first, second[:3]} {
 		if err := catalogue.RemoveKey(ctx, c, owner, digest, "rui", now); err == nil {
-			t.Errorf("removed %s", digest)
+			t.Errorf("RemoveKey(%s) returned no error", digest)
 		}
 	}
 	if cu := stored(); cu.AcceptsKey("first-key") || !cu.AcceptsKey("second-key") {
-		t.Errorf("keys %v after one was taken away", cu.KeyDigests)
+		t.Errorf("key digests = %v, want that of the second key only", cu.KeyDigests)
 	}
 	changes, err := catalogue.Audit(ctx, c, catalogue.CustomerPrefix+owner)
 	if err != nil || len(changes) != 4 {
-		t.Errorf("%d changes, %v", len(changes), err)
+		t.Errorf("Audit returned %d changes and error %v, want 4", len(changes), err)
 	}
 	for _, ch := range changes {
 		if strings.Contains(ch.Before+ch.After, "-key\"") {
-			t.Errorf("a key is in the audit trail: %+v", ch)
+			t.Errorf("audit record contains a key: %+v", ch)
 		}
 	}
 	f.Customers[0].KeyDigests = []string{"no digest"}
 	if _, err := catalogue.Sync(ctx, c, f, "ana", now); err == nil {
-		t.Error("a digest that is none was accepted")
+		t.Error("Sync of a malformed digest returned no error")
 	}
 }
--- a/pkg/catalogue/remove.go
+++ b/pkg/catalogue/remove.go
@@ -13,39 +13,38 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// ErrInUse is returned by Remove for a pool that entries still use, or a customer with
-// keys that still owns entries, which nobody would need a key for then; nothing was
-// written.
+// ErrInUse is returned by Remove for a pool that entries use, and for a customer with
+// keys that owns entries, which would then be open to callers without a key. Nothing
+// was written.
 var ErrInUse = errors.New("catalogue: still in use")
 
-// removeTries bounds how often Remove starts again because the catalogue
-// changed under it.
-const removeTries = 16
+// maxRemoveAttempts is how often Remove is attempted while the catalogue changes.
+const maxRemoveAttempts = 16
 
-// Remove takes the item with the given key out of the catalogue, with an
-// audit record. Its row stays, marked as removed, so that an instance that
-// applies only newer rows learns of the removal and none brings it back. A
-// pool that entries use is ErrInUse, also when an entry that uses it is
-// added meanwhile; a customer with keys likewise.
+// Remove removes the item with the given key from the catalogue and writes an audit
+// record. The row stays, marked as removed, so that instances, which apply only newer
+// rows, learn of the removal and none reverts it. Remove returns ErrInUse for a pool
+// that entries use, also if such an entry is added meanwhile, and likewise for a
+// customer with keys.
 func Remove(ctx context.Context, c *platform.Client, key, author string, now time.Time) error {
-	remove := func() ([]platform.Op, error) { return removal(ctx, c, key, author, now) }
-	for range removeTries {
+	remove := func() ([]platform.Op, error) { return removeOps(ctx, c, key, author, now) }
+	for range maxRemoveAttempts {
 		_, err := commitOnce(ctx, c, key, remove)
 		var ce *platform.ConflictError
 		if !errors.As(err, &ce) {
 			return err
 		}
 	}
-	return fmt.Errorf("%w: the catalogue kept changing under %s", ErrConflict, key)
+	return fmt.Errorf("%w: the catalogue changed during each attempt to remove %s", ErrConflict, key)
 }
 
-// removal returns the operations that remove the item, as it stands now.
-func removal(ctx context.Context, c *platform.Client, key, author string, now time.Time) ([]platform.Op, error) {
+// removeOps returns the operations that remove the item as it is now.
+func removeOps(ctx context.Context, c *platform.Client, key, author string, now time.Time) ([]platform.Op, error) {
 	snap, err := Read(ctx, c)
 	if err != nil {
 		return nil, err
 	}
-	if users := snap.users(key); len(users) > 0 {
+	if users := snap.entriesUsing(key); len(users) > 0 {
 		return nil, fmt.Errorf("%w: %s by entries %s", ErrInUse, key, strings.Join(users, ", "))
 	}
 	row, err := c.Get(ctx, key)
@@ -54,10 +53,10 @@
 	}
 	var item map[string]any
 	if err := json.Unmarshal(row.Value, &item); err != nil {
-		return nil, fmt.Errorf("catalogue: row %s: %w", key, err)
+		return nil, fmt.Errorf("catalogue: decode row %s: %w", key, err)
 	}
 	if item["removed"] == true {
-		return nil, fmt.Errorf("catalogue: %s is removed already", key)
+		return nil, fmt.Errorf("catalogue: %s is already removed", key)
 	}
 	gen, _ := item["generation"].(float64)
 	item["removed"], item["generation"] = true, uint64(gen)+1
@@ -69,9 +68,9 @@
 	return []platform.Op{put, audit}, err
 }
 
-// users returns the names of the entries that use the pool, or are of the customer with
-// keys, that has the given key, sorted.
-func (s Snapshot) users(key string) []string {
+// entriesUsing returns the names of the entries that use the pool with the given key,
+// or that belong to the customer with that key if it has API keys, sorted.
+func (s Snapshot) entriesUsing(key string) []string {
 	uses := func(Entry) bool { return false }
 	if pool, ok := strings.CutPrefix(key, PoolPrefix); ok {
 		uses = func(e Entry) bool { return e.Pool == pool }
--- a/pkg/catalogue/revision.go
+++ b/pkg/catalogue/revision.go
@@ -10,26 +10,26 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// RevisionKey is a row that every accepted change rewrites, so that a
-// reader learns from one small row whether anything changed and what.
+// RevisionKey is the key of a row that every accepted change rewrites, so that a reader
+// learns from one small row whether the catalogue has changed and which items.
 const RevisionKey = "catalogue/revision"
 
-// recentKeys is how many changes a Revision remembers; a reader further
-// behind scans the whole catalogue.
-const recentKeys = 16
+// maxRecentKeys is how many changes a Revision lists. A reader further behind reads the
+// whole catalogue.
+const maxRecentKeys = 16
 
-// revisionTries bounds how often CommitRevised retries when only the
-// revision row moved under it, because another item was changed meanwhile.
-const revisionTries = 16
+// maxRevisionAttempts is how often CommitWithRevision is attempted while other items
+// change and only the revision row conflicts.
+const maxRevisionAttempts = 16
 
 // Revision is the value of the revision row.
 type Revision struct {
-	Number uint64   `json:"number"` // changes accepted so far
+	Number uint64   `json:"number"` // number of accepted changes
 	Recent []string `json:"recent"` // keys of the last changes, newest last
 }
 
 // ChangedSince returns the keys changed after revision number known, without
-// repeats, and whether r still remembers all of them.
+// duplicates. ok is false if r does not list all of them.
 func (r Revision) ChangedSince(known uint64) (keys []string, ok bool) {
 	if known >= r.Number {
 		return nil, true
@@ -50,14 +50,14 @@
 
 func (r Revision) next(key string) Revision {
 	recent := append(append([]string(nil), r.Recent...), key)
-	if len(recent) > recentKeys {
-		recent = recent[len(recent)-recentKeys:]
+	if len(recent) > maxRecentKeys {
+		recent = recent[len(recent)-maxRecentKeys:]
 	}
 	return Revision{Number: r.Number + 1, Recent: recent}
 }
 
-// ReadRevision returns the revision row's value and version, both zero if
-// the row does not exist.
+// ReadRevision returns the revision row's value and version, both zero if there is
+// none.
 func ReadRevision(ctx context.Context, c *platform.Client) (Revision, uint64, error) {
 	row, err := c.Get(ctx, RevisionKey)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -68,30 +68,31 @@
 	}
 	var r Revision
 	if err := json.Unmarshal(row.Value, &r); err != nil {
-		return Revision{}, 0, fmt.Errorf("catalogue: revision row: %w", err)
+		return Revision{}, 0, fmt.Errorf("catalogue: decode revision row: %w", err)
 	}
 	return r, row.Version, nil
 }
 
-// CommitWithRevision commits ops together with a new revision that names key as
-// changed, and returns the rows of ops. It retries when only the revision
-// row moved. A failed condition of ops is a *platform.ConflictError; a
-// platform.ErrUnavailable means the outcome is unknown.
+// CommitWithRevision commits ops together with a new revision that lists key as
+// changed, and returns the rows of ops. It retries when only the revision row has
+// changed. The error is a *platform.ConflictError if a condition of ops failed, and a
+// platform.ErrUnavailable if the outcome is unknown.
 func CommitWithRevision(ctx context.Context, c *platform.Client, key string, ops ...platform.Op) ([]platform.Row, error) {
-	same := func() ([]platform.Op, error) { return ops, nil }
-	for range revisionTries {
-		rows, err := commitOnce(ctx, c, key, same)
+	fixedOps := func() ([]platform.Op, error) { return ops, nil }
+	for range maxRevisionAttempts {
+		rows, err := commitOnce(ctx, c, key, fixedOps)
 		var ce *platform.ConflictError
 		if errors.As(err, &ce) && ce.Key == RevisionKey {
 			continue
 		}
 		return rows, err
 	}
-	return nil, fmt.Errorf("%w: the catalogue kept changing under %s", ErrConflict, key)
+	return nil, fmt.Errorf("%w: the catalogue changed during each attempt to write %s", ErrConflict, key)
 }
 
-// commitOnce reads the revision, then asks for the operations, so that what
-// they rest on is no older than the revision, and commits both.
+// commitOnce reads the revision, then calls build for the operations, and commits both.
+// The order ensures that what the operations depend on is at least as new as the
+// revision.
 func commitOnce(ctx context.Context, c *platform.Client, key string, build func() ([]platform.Op, error)) ([]platform.Row, error) {
 	rev, version, err := ReadRevision(ctx, c)
 	if err != nil {
--- a/pkg/catalogue/store.go
+++ b/pkg/catalogue/store.go
@@ -18,8 +18,8 @@
 	CustomerPrefix = "catalogue/customer/"
 )
 
-// Snapshot is the catalogue as read at one moment, with the row version of
-// each item so that a reader can apply only newer ones.
+// Snapshot is the catalogue as read at one time, with the row version of each item, so
+// that a reader can apply only newer ones.
 type Snapshot struct {
 	Entries   map[string]Entry
 	Pools     map[string]Pool
@@ -27,7 +27,7 @@
 	Versions  map[string]uint64 // row key → row version
 }
 
-// Read scans the whole catalogue from the table.
+// Read reads the whole catalogue from the table.
 func Read(ctx context.Context, c *platform.Client) (Snapshot, error) {
 	rows, err := c.Scan(ctx, "catalogue/")
 	if err != nil {
@@ -36,7 +36,8 @@
 	return Decode(rows)
 }
 
-// Decode builds a Snapshot from catalogue rows.
+// Decode decodes catalogue rows into a Snapshot. Other rows are ignored, apart from
+// their versions.
 func Decode(rows []platform.Row) (Snapshot, error) {
 	s := Snapshot{Entries: map[string]Entry{}, Pools: map[string]Pool{}, Customers: map[string]Customer{}, Versions: map[string]uint64{}}
 	for _, r := range rows {
@@ -45,19 +46,19 @@
 		case strings.HasPrefix(r.Key, EntryPrefix):
 			var e Entry
 			if err := json.Unmarshal(r.Value, &e); err != nil {
-				return Snapshot{}, fmt.Errorf("catalogue: row %s: %w", r.Key, err)
+				return Snapshot{}, fmt.Errorf("catalogue: decode row %s: %w", r.Key, err)
 			}
 			s.Entries[e.Name] = e
 		case strings.HasPrefix(r.Key, PoolPrefix):
 			var p Pool
 			if err := json.Unmarshal(r.Value, &p); err != nil {
-				return Snapshot{}, fmt.Errorf("catalogue: row %s: %w", r.Key, err)
+				return Snapshot{}, fmt.Errorf("catalogue: decode row %s: %w", r.Key, err)
 			}
 			s.Pools[p.Name] = p
 		case strings.HasPrefix(r.Key, CustomerPrefix):
 			var c Customer
 			if err := json.Unmarshal(r.Value, &c); err != nil {
-				return Snapshot{}, fmt.Errorf("catalogue: row %s: %w", r.Key, err)
+				return Snapshot{}, fmt.Errorf("catalogue: decode row %s: %w", r.Key, err)
 			}
 			s.Customers[c.Name] = c
 		}
@@ -65,22 +66,22 @@
 	return s, nil
 }
 
-// Edit is one operator's change to one catalogue item.
+// Edit is an operator's change of one catalogue item.
 type Edit struct {
-	Key           string // a prefix above and the name
-	ExpectVersion uint64 // the row version the author edited; 0 for a new item
-	Value         any    // an Entry, a Pool or a Customer
+	Key           string // one of the prefixes above and the item's name
+	ExpectVersion uint64 // row version that the author read; 0 for a new item
+	Value         any    // Entry, Pool or Customer
 	Author        string
 	At            time.Time
 }
 
-// ErrConflict is returned by Apply when the item changed since the author
-// read it; nothing was written.
+// ErrConflict is returned for a write of an item that has changed since it was read.
+// Nothing was written.
 var ErrConflict = errors.New("catalogue: changed since read")
 
-// Apply checks and writes e together with its audit record, in one
-// transaction. The generation of the value is set to one past the one it
-// replaces.
+// Apply validates e and writes it together with its audit record in one transaction.
+// The generation of the value becomes that of the value replaced plus one. If the
+// response to the write is lost, the audit record tells whether it was applied.
 func Apply(ctx context.Context, c *platform.Client, e Edit) (platform.Row, error) {
 	before, gen, err := current(ctx, c, e)
 	if err != nil {
@@ -106,7 +107,7 @@
 		return platform.Row{}, fmt.Errorf("%w: %s is at version %d, not %d", ErrConflict, e.Key, ce.Current.Version, e.ExpectVersion)
 	}
 	if errors.Is(err, platform.ErrUnavailable) {
-		return confirm(ctx, c, e.Key, audit, err)
+		return confirmApplied(ctx, c, e.Key, audit, err)
 	}
 	if err != nil {
 		return platform.Row{}, err
@@ -114,17 +115,17 @@
 	return rows[0], nil
 }
 
-// confirm finds out whether a change whose reply was lost was accepted, by
-// its audit record, and returns the item's row if so, or else cause.
-func confirm(ctx context.Context, c *platform.Client, key string, audit platform.Op, cause error) (platform.Row, error) {
+// confirmApplied returns the item's row if the audit record of a change is stored, that
+// is, if the change was accepted although its response was lost, and cause otherwise.
+func confirmApplied(ctx context.Context, c *platform.Client, key string, audit platform.Op, cause error) (platform.Row, error) {
 	if ok, err := AuditRecorded(ctx, c, audit); err != nil || !ok {
 		return platform.Row{}, cause
 	}
 	return c.Get(ctx, key)
 }
 
-// current returns the JSON and generation of the row e replaces, checking
-// that its version is still e.ExpectVersion.
+// current returns the JSON and the generation of the row that e replaces. It returns
+// ErrConflict if the row's version is not e.ExpectVersion.
 func current(ctx context.Context, c *platform.Client, e Edit) (string, uint64, error) {
 	row, err := c.Get(ctx, e.Key)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -143,7 +144,7 @@
 		Generation uint64 `json:"generation"`
 	}
 	if err := json.Unmarshal(row.Value, &g); err != nil {
-		return "", 0, fmt.Errorf("catalogue: row %s: %w", e.Key, err)
+		return "", 0, fmt.Errorf("catalogue: decode row %s: %w", e.Key, err)
 	}
 	return string(row.Value), g.Generation, nil
 }
