--- a/pkg/routetable/diff.go
+++ b/pkg/routetable/diff.go
@@ -7,19 +7,20 @@
 	"github.com/zinnialadder/zinnialadder/pkg/customer"
 )
 
-// Diff tells what of a configuration is new against another, by the names of
-// routes.
+// Diff lists the names of routes that differ between two configurations, and says what
+// else differs.
 type Diff struct {
 	Added   []string `json:"added,omitempty"`
 	Removed []string `json:"removed,omitempty"`
 	Changed []string `json:"changed,omitempty"`
-	Limits  bool     `json:"limits,omitempty"` // they have changed
-	Pools   bool     `json:"pools,omitempty"`  // they have changed
-	// Customers that are new, gone or have other keys; nil if none are.
+	Limits  bool     `json:"limits,omitempty"` // they differ
+	Pools   bool     `json:"pools,omitempty"`  // they differ
+	// Customers are the customers added, removed or with other keys; nil if there are
+	// none.
 	Customers *customer.Diff `json:"customers,omitempty"`
 }
 
-// Compare returns what t has new against old, which may be nil for none.
+// Compare returns what has changed from old to t. A nil old stands for an empty table.
 func (t *Table) Compare(old *Table) Diff {
 	if old == nil {
 		old = New(0, nil, nil, Limits{})
--- a/pkg/routetable/routetable_test.go
+++ b/pkg/routetable/routetable_test.go
@@ -22,18 +22,18 @@
 	//  false
 }
 
-// Requests are dealt to a route's pools by their weights.
-func TestShares(t *testing.T) {
+// Requests are distributed over a route's pools by their weights.
+func TestPickPoolFollowsWeights(t *testing.T) {
 	r := routetable.Route{Shares: []routetable.Share{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}}}
 	got := map[string]int{}
 	for i := range 100 {
 		got[r.PickPool(float64(i)/100)]++
 	}
 	if got["a"] != 90 || got["b"] != 10 {
-		t.Fatal(got)
+		t.Fatalf("PickPool returned %v, want 90 times a and 10 times b", got)
 	}
 	if p := r.PickPool(1); p != "b" {
-		t.Fatalf("a draw at the end gives %q", p)
+		t.Fatalf("PickPool(1) = %q, want b", p)
 	}
 }
 
@@ -43,7 +43,7 @@
 		true:  {{Host: "h", PathPrefix: "/a/"}, {Host: "h", PathPrefix: "/b/", SingleVersion: true}},
 	} {
 		if got := routetable.New(1, routes, nil, routetable.Limits{}).SingleVersion(); got != want {
-			t.Errorf("%v of %+v", got, routes)
+			t.Errorf("SingleVersion = %v for routes %+v, want the opposite", got, routes)
 		}
 	}
 }
