--- a/pkg/platform/client.go
+++ b/pkg/platform/client.go
@@ -11,23 +11,23 @@
 	"github.com/zinnialadder/zinnialadder/internal/httpjson"
 )
 
-// Client speaks to one platform endpoint. It is safe for concurrent use.
+// Client is a client for one platform endpoint. It is safe for concurrent use.
 type Client struct {
 	server  httpjson.Client
-	timeout time.Duration // of one call; 0 for none but its context's
+	timeout time.Duration // for each call; 0 for no limit but that of the context
 }
 
-// NewClient returns a Client for the platform at base, such as
-// "http://127.0.0.1:7000". A nil hc means http.DefaultClient.
-func NewClient(base string, hc *http.Client) *Client {
-	return &Client{server: httpjson.NewClient(base, hc)}
+// NewClient returns a Client for the platform at base, such as "http://127.0.0.1:7000".
+// A nil httpClient means http.DefaultClient.
+func NewClient(base string, httpClient *http.Client) *Client {
+	return &Client{server: httpjson.NewClient(base, httpClient)}
 }
 
-// WithTimeout returns a Client like c that gives each call up after timeout.
+// WithTimeout returns a copy of c whose calls end after timeout.
 func (c *Client) WithTimeout(timeout time.Duration) *Client {
-	bounded := *c
-	bounded.timeout = timeout
-	return &bounded
+	copied := *c
+	copied.timeout = timeout
+	return &copied
 }
 
 // Get returns the row at key, or ErrNotFound.
@@ -44,15 +44,15 @@
 	return r.Rows, err
 }
 
-// ScanLimit returns the first rows, up to limit, that Scan would return.
+// ScanLimit returns the first rows that Scan would return, up to limit.
 func (c *Client) ScanLimit(ctx context.Context, prefix string, limit int) ([]Row, error) {
 	var r ScanResult
 	err := c.do(ctx, http.MethodGet, fmt.Sprintf("/v1/rows?prefix=%s&limit=%d", url.QueryEscape(prefix), limit), nil, &r)
 	return r.Rows, err
 }
 
-// Commit applies ops atomically. A failed condition is a *ConflictError; an
-// ErrUnavailable means the outcome is unknown.
+// Commit applies ops atomically. The error is a *ConflictError if a condition failed,
+// and an ErrUnavailable if the outcome is unknown.
 func (c *Client) Commit(ctx context.Context, ops ...Op) ([]Row, error) {
 	var r TxnResult
 	err := c.do(ctx, http.MethodPost, "/v1/commit", Txn{Ops: ops}, &r)
@@ -71,7 +71,7 @@
 	return b, err
 }
 
-// DeleteObject removes the object stored under name, if there is one.
+// DeleteObject deletes the object stored under name, if there is one.
 func (c *Client) DeleteObject(ctx context.Context, name string) error {
 	return c.do(ctx, http.MethodDelete, "/v1/objects/"+url.PathEscape(name), nil, nil)
 }
--- a/pkg/platform/conflict.go
+++ b/pkg/platform/conflict.go
@@ -8,7 +8,7 @@
 func decodeConflict(body string) error {
 	var c Conflict
 	if err := json.Unmarshal([]byte(body), &c); err != nil {
-		return fmt.Errorf("platform: unreadable conflict answer: %w", err)
+		return fmt.Errorf("platform: decode conflict response: %w", err)
 	}
 	return &ConflictError{Conflict: c}
 }
--- a/pkg/platform/platformtest/count.go
+++ b/pkg/platform/platformtest/count.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// counted counts the bytes of the bodies that h reads and answers.
-func (s *Server) counted(h http.Handler) http.Handler {
+// countBytes wraps h to count the bytes of request and response bodies.
+func (s *Server) countBytes(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		cw := &countingWriter{ResponseWriter: w}
 		h.ServeHTTP(cw, r)
@@ -14,7 +14,7 @@
 	})
 }
 
-// countingWriter counts the bytes written through it.
+// countingWriter counts the bytes written to it.
 type countingWriter struct {
 	http.ResponseWriter
 	n int64
@@ -26,5 +26,5 @@
 	return n, err
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap gives http.ResponseController access to the connection.
 func (w *countingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/pkg/platform/platformtest/instances.go
+++ b/pkg/platform/platformtest/instances.go
@@ -9,22 +9,22 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// listed is a change of the instance list; it shows from visibleAt on.
-type listed struct {
+// instanceChange is a change of the instance list that is visible from visibleAt on.
+type instanceChange struct {
 	platform.Instance
 	visibleAt time.Time
 }
 
-// SetInstance records a change of the instance list that shows only after
-// lag, as the platform's list lags.
+// SetInstance records a change of the instance list that becomes visible after lag, as
+// in the platform's list.
 func (s *Server) SetInstance(addr string, st platform.InstanceState, lag time.Duration) {
 	s.mu.Lock()
-	s.instances = append(s.instances, listed{platform.Instance{Address: addr, State: st}, time.Now().Add(lag)})
+	s.instances = append(s.instances, instanceChange{platform.Instance{Address: addr, State: st}, time.Now().Add(lag)})
 	s.mu.Unlock()
 }
 
 func (s *Server) listInstances(w http.ResponseWriter, r *http.Request) {
-	if !s.gate(w) {
+	if !s.applyFaults(w) {
 		return
 	}
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
--- a/pkg/platform/platformtest/server.go
+++ b/pkg/platform/platformtest/server.go
@@ -1,7 +1,7 @@
-// Package platformtest is a stand-in for the platform's transactional table
-// and object store, for tests and for running zinnialadder on one machine.
-// It keeps everything in memory and can be told to fail as the real
-// platform does: down, slow, or losing a reply after the write took effect.
+// Package platformtest is a fake of the platform's transactional table and object
+// store, for tests and for running zinnialadder on one machine. It keeps everything in
+// memory and can simulate faults of the real platform: unavailable, slow, or losing a
+// response after the write was applied.
 package platformtest
 
 import (
@@ -19,30 +19,30 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// Faults are the failures the stand-in is told to show.
+// Faults are the faults that the fake simulates.
 type Faults struct {
-	Down          bool `json:"down"`            // answer 503 to everything
-	DelayMillis   int  `json:"delay_millis"`    // wait before each answer
-	LoseReplies   int  `json:"lose_replies"`    // commit, then drop this many replies
-	LoseNextReads int  `json:"lose_next_reads"` // drop this many read replies
-	// LosePrefix, if set, limits LoseReplies to commits that write a key
-	// with this prefix.
+	Down          bool `json:"down"`            // respond 503 to all calls
+	DelayMillis   int  `json:"delay_millis"`    // delay each response, in milliseconds
+	LoseReplies   int  `json:"lose_replies"`    // commit, then drop the response, for this many commits
+	LoseNextReads int  `json:"lose_next_reads"` // drop the responses of this many reads
+	// LosePrefix, if set, limits LoseReplies to commits that write a key with this
+	// prefix.
 	LosePrefix string `json:"lose_prefix"`
-	// StaleReads answers reads of rows from the rows as Remember found them.
+	// StaleReads serves reads of rows from the copy that SnapshotRows made.
 	StaleReads bool `json:"old_reads"`
 }
 
-// Stats counts the calls the stand-in has served.
+// Stats counts the calls that the fake has served.
 type Stats struct {
 	Reads   int64 `json:"reads"`
 	Commits int64 `json:"commits"`
 	Lost    int64 `json:"lost"`
-	// BytesOut and BytesIn count answer and request bodies.
+	// BytesOut and BytesIn count the bytes of response and request bodies.
 	BytesOut int64 `json:"bytes_out"`
 	BytesIn  int64 `json:"bytes_in"`
 }
 
-// Server is the stand-in. Its zero value is not usable; call New.
+// Server is the fake. Its zero value is not usable; call New.
 type Server struct {
 	mu        sync.Mutex
 	seq       uint64
@@ -50,8 +50,8 @@
 	objects   map[string][]byte
 	faults    Faults
 	stats     Stats
-	instances []listed
-	old       map[string]platform.Row // as Remember found them
+	instances []instanceChange
+	snapshot  map[string]platform.Row // made by SnapshotRows
 }
 
 // New returns an empty Server.
@@ -59,8 +59,8 @@
 	return &Server{rows: map[string]platform.Row{}, objects: map[string][]byte{}}
 }
 
-// Handler returns the HTTP handler of the platform protocol, with
-// POST /v1/faults (a Faults body) and GET /v1/stats for tests.
+// Handler returns the HTTP handler of the platform protocol, with POST /v1/faults (a
+// Faults body) and GET /v1/stats for tests.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/rows/{key...}", s.get)
@@ -72,7 +72,7 @@
 	mux.HandleFunc("GET /v1/instances", s.listInstances)
 	mux.HandleFunc("POST /v1/faults", s.setFaults)
 	mux.HandleFunc("GET /v1/stats", s.getStats)
-	return s.counted(mux)
+	return s.countBytes(mux)
 }
 
 // SetFaults replaces the faults in force.
@@ -89,12 +89,12 @@
 	return s.stats
 }
 
-// Put writes v as JSON under key, whatever is there, as an outside writer
-// whose calls are not counted.
+// Put writes v as JSON under key unconditionally, as a writer outside of the system
+// would. The write is not counted.
 func (s *Server) Put(key string, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // the caller's value can't be encoded
+		panic(err) // v cannot be encoded
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,7 @@
 	s.rows[key] = platform.Row{Key: key, Version: s.seq, Value: b}
 }
 
-// Objects returns how many objects are stored.
+// Objects returns the number of stored objects.
 func (s *Server) Objects() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,9 +116,9 @@
 	return scan(s.rows, prefix)
 }
 
-// gate applies Down and DelayMillis; it reports false if the request was
-// answered with 503.
-func (s *Server) gate(w http.ResponseWriter) bool {
+// applyFaults applies Down and DelayMillis. It reports false if it has responded with
+// 503.
+func (s *Server) applyFaults(w http.ResponseWriter) bool {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
@@ -132,8 +132,8 @@
 	return true
 }
 
-// loseReply reports whether this reply is to be dropped, taking one from
-// the counter n.
+// loseReply reports whether the response is to be dropped, decrementing the counter n
+// if so.
 func (s *Server) loseReply(n *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,8 +145,8 @@
 	return true
 }
 
-// targeted reports whether txn is one that LosePrefix aims at.
-func (s *Server) targeted(txn platform.Txn) bool {
+// matchesLosePrefix reports whether txn has an op on a key with LosePrefix.
+func (s *Server) matchesLosePrefix(txn platform.Txn) bool {
 	s.mu.Lock()
 	prefix := s.faults.LosePrefix
 	s.mu.Unlock()
@@ -158,9 +158,8 @@
 	return false
 }
 
-// drop answers as a lost reply looks to the client: the connection closes
-// with no answer.
-func drop(w http.ResponseWriter) {
+// dropReply closes the connection without a response, as a client sees a lost one.
+func dropReply(w http.ResponseWriter) {
 	if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
 		conn.Close()
 		return
@@ -169,15 +168,15 @@
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
-	if !s.gate(w) {
+	if !s.applyFaults(w) {
 		return
 	}
 	s.mu.Lock()
 	s.stats.Reads++
-	row, ok := s.readable()[r.PathValue("key")]
+	row, ok := s.readableRows()[r.PathValue("key")]
 	s.mu.Unlock()
 	if s.loseReply(&s.faults.LoseNextReads) {
-		drop(w)
+		dropReply(w)
 		return
 	}
 	if !ok {
@@ -188,39 +187,39 @@
 }
 
 func (s *Server) scan(w http.ResponseWriter, r *http.Request) {
-	if !s.gate(w) {
+	if !s.applyFaults(w) {
 		return
 	}
 	s.mu.Lock()
 	s.stats.Reads++
-	rows := scan(s.readable(), r.URL.Query().Get("prefix"))
+	rows := scan(s.readableRows(), r.URL.Query().Get("prefix"))
 	if limit, err := strconv.Atoi(r.URL.Query().Get("limit")); err == nil && limit < len(rows) {
 		rows = rows[:limit]
 	}
 	s.mu.Unlock()
 	if s.loseReply(&s.faults.LoseNextReads) {
-		drop(w)
+		dropReply(w)
 		return
 	}
 	httpjson.Write(w, http.StatusOK, platform.ScanResult{Rows: rows})
 }
 
-// SnapshotRows keeps the rows as they are now for OldReads to answer from.
+// SnapshotRows copies the current rows for StaleReads.
 func (s *Server) SnapshotRows() {
 	s.mu.Lock()
-	s.old = maps.Clone(s.rows)
+	s.snapshot = maps.Clone(s.rows)
 	s.mu.Unlock()
 }
 
-// readable returns the rows that reads see now.
-func (s *Server) readable() map[string]platform.Row {
+// readableRows returns the rows that reads return now. The caller must hold s.mu.
+func (s *Server) readableRows() map[string]platform.Row {
 	if s.faults.StaleReads {
-		return s.old
+		return s.snapshot
 	}
 	return s.rows
 }
 
-// scan returns the rows of table whose key starts with prefix, by key.
+// scan returns the rows of table whose key starts with prefix, in key order.
 func scan(table map[string]platform.Row, prefix string) []platform.Row {
 	rows := []platform.Row{}
 	for k, row := range table {
@@ -233,7 +232,7 @@
 }
 
 func (s *Server) commit(w http.ResponseWriter, r *http.Request) {
-	if !s.gate(w) {
+	if !s.applyFaults(w) {
 		return
 	}
 	var txn platform.Txn
@@ -241,8 +240,8 @@
 		return
 	}
 	rows, conflict := s.apply(txn)
-	if s.targeted(txn) && s.loseReply(&s.faults.LoseReplies) {
-		drop(w)
+	if s.matchesLosePrefix(txn) && s.loseReply(&s.faults.LoseReplies) {
+		dropReply(w)
 		return
 	}
 	if conflict != nil {
@@ -252,8 +251,8 @@
 	httpjson.Write(w, http.StatusOK, platform.TxnResult{Rows: rows})
 }
 
-// apply checks every condition of txn, then writes all of its ops under one
-// new sequence number.
+// apply checks every condition of txn, then applies all of its ops with one new
+// sequence number.
 func (s *Server) apply(txn platform.Txn) ([]platform.Row, *platform.Conflict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -284,7 +283,7 @@
 }
 
 func (s *Server) putObject(w http.ResponseWriter, r *http.Request) {
-	if !s.gate(w) {
+	if !s.applyFaults(w) {
 		return
 	}
 	var data []byte
@@ -299,7 +298,7 @@
 }
 
 func (s *Server) deleteObject(w http.ResponseWriter, r *http.Request) {
-	if !s.gate(w) {
+	if !s.applyFaults(w) {
 		return
 	}
 	s.mu.Lock()
@@ -310,7 +309,7 @@
 }
 
 func (s *Server) getObject(w http.ResponseWriter, r *http.Request) {
-	if !s.gate(w) {
+	if !s.applyFaults(w) {
 		return
 	}
 	s.mu.Lock()
