--- a/pkg/engine/enginetest/load.go
+++ b/pkg/engine/enginetest/load.go
@@ -11,9 +11,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/engine"
 )
 
-// WeightStore is a rate-limited weight store that engines share: a fetch
-// takes FetchTime while at most Free fetches are under way, and in
-// proportion longer with more.
+// WeightStore is a fake weight store with limited bandwidth that engines share. A fetch
+// takes FetchTime while at most FullRateFetches are in progress, and longer in
+// proportion with more.
 type WeightStore struct {
 	FetchTime       time.Duration
 	FullRateFetches int
@@ -22,7 +22,7 @@
 	fetches int
 }
 
-// fetch waits as long as a fetch begun now takes.
+// fetch waits as long as a fetch that starts now takes.
 func (ws *WeightStore) fetch(ctx context.Context) error {
 	ws.mu.Lock()
 	ws.fetches++
@@ -41,18 +41,18 @@
 	}
 }
 
-// Loads returns how many load orders the stand-in has carried out.
+// Loads returns the number of load orders carried out.
 func (s *Server) Loads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.loads
 }
 
-// Loading reports whether a load order is being carried out.
+// Loading reports whether a load order is in progress.
 func (s *Server) Loading() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.loaded != nil
+	return s.loadDone != nil
 }
 
 func (s *Server) load(w http.ResponseWriter, r *http.Request) {
@@ -60,45 +60,45 @@
 	if !httpjson.Read(w, r, &o) {
 		return
 	}
-	if status, err := s.beginLoad(o); err != nil {
+	if status, err := s.acceptLoad(o); err != nil {
 		http.Error(w, err.Error(), status)
 		return
 	}
-	if err := s.finishLoad(r.Context(), o); err != nil {
+	if err := s.carryOutLoad(r.Context(), o); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	httpjson.Write(w, http.StatusOK, engine.LoadReport{WeightVersion: o.Version})
 }
 
-// beginLoad accepts o, or returns the status and reason it is refused with.
-func (s *Server) beginLoad(o engine.LoadOrder) (int, error) {
+// acceptLoad accepts o, or returns the status and the error to refuse it with.
+func (s *Server) acceptLoad(o engine.LoadOrder) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cfg.ChecksFencing && o.Fencing < s.fencing {
-		return http.StatusConflict, fmt.Errorf("fencing %d is older than %d", o.Fencing, s.fencing)
+		return http.StatusConflict, fmt.Errorf("stale fencing token: got %d, newest is %d", o.Fencing, s.fencing)
 	}
-	if s.loaded != nil {
-		return http.StatusServiceUnavailable, fmt.Errorf("another load is under way")
+	if s.loadDone != nil {
+		return http.StatusServiceUnavailable, fmt.Errorf("another load is in progress")
 	}
 	s.fencing = max(s.fencing, o.Fencing)
-	s.loaded = make(chan struct{})
+	s.loadDone = make(chan struct{})
 	return 0, nil
 }
 
-// finishLoad fetches the version of an accepted order and switches to it.
-// An order once accepted is carried out even if its sender goes away.
-func (s *Server) finishLoad(ctx context.Context, o engine.LoadOrder) error {
+// carryOutLoad fetches the version of an accepted order and switches to it. An accepted
+// order is carried out even if its sender disconnects.
+func (s *Server) carryOutLoad(ctx context.Context, o engine.LoadOrder) error {
 	var err error
 	if s.cfg.WeightStore != nil {
 		err = s.cfg.WeightStore.fetch(context.WithoutCancel(ctx))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.loaded)
-	s.loaded = nil
+	close(s.loadDone)
+	s.loadDone = nil
 	if s.faults.RefuseLoad {
-		return fmt.Errorf("weight swap failed partway")
+		return fmt.Errorf("loading the weights failed partway")
 	}
 	if err != nil {
 		return err
--- a/pkg/engine/enginetest/server.go
+++ b/pkg/engine/enginetest/server.go
@@ -1,8 +1,8 @@
-// Package enginetest is a stand-in for a model engine. It emits fake tokens
-// at a set rate from a fixed number of batch slots, stamps each chunk with
-// the weight version loaded at that moment, obeys load orders (checking
-// fencing numbers or not, as configured), and records which versions served
-// each request so that tests can check sample labels against it.
+// Package enginetest is a fake of a model engine. It generates tokens at a set rate in
+// a fixed number of batch slots, marks each chunk with the weight version loaded at
+// that moment, carries out load orders (checking fencing tokens if configured), and
+// records which versions served each request, so that tests can check the labels of
+// samples against it.
 package enginetest
 
 import (
@@ -20,59 +20,60 @@
 
 // Config configures a Server.
 type Config struct {
-	Name          string        // used in token text
-	Slots         int           // streams generated at once; others queue
+	Name          string        // not used by the fake itself
+	Slots         int           // streams generated at once; others are queued
 	TokenInterval time.Duration // time between tokens of one stream
 	WeightVersion uint64        // version loaded at start
-	ChecksFencing bool          // refuse load orders with a stale fencing number
-	CacheEntries  int           // prompt prefixes the prefix cache holds; default 64
-	PrefillDelay  time.Duration // extra wait before the first token on a cache miss
-	// WeightStore is where versions are fetched from; nil loads at once.
-	// While an engine loads, its streams stand still and new ones wait.
+	ChecksFencing bool          // refuse load orders with a stale fencing token
+	CacheEntries  int           // prompt prefixes that the prefix cache holds; default 64
+	PrefillDelay  time.Duration // delay before the first token on a cache miss
+	// WeightStore is the store that versions are fetched from; nil loads at once.
+	// During a load streams stand still and new ones wait.
 	WeightStore *WeightStore
 }
 
-// prefixLen is how much of a prompt the stand-in's prefix cache keys on.
-const prefixLen = 64
+// cachePrefixBytes is the length of the prompt prefix that the cache uses as a key, in
+// bytes.
+const cachePrefixBytes = 64
 
-// Faults are the failures the stand-in is told to show.
+// Faults are the faults that the fake simulates.
 type Faults struct {
-	CutAfter   int  `json:"cut_after"`   // close streams after this many tokens (0: never)
-	Silent     bool `json:"silent"`      // accept requests of any kind, then never answer nor close
+	CutAfter   int  `json:"cut_after"`   // close streams after this many tokens; 0 for never
+	Silent     bool `json:"silent"`      // accept generations and report reads, then neither respond nor close
 	RefuseLoad bool `json:"refuse_load"` // fail load orders partway
-	// DuplicateChunks sends each chunk twice; ForeignChunk sends, as the
-	// third chunk of each stream, one that belongs to another request.
+	// DuplicateChunks sends each chunk twice. ForeignChunk sends, before the third
+	// chunk of each stream, a chunk of another request.
 	DuplicateChunks bool `json:"duplicate_chunks"`
 	ForeignChunk    bool `json:"foreign_chunk"`
-	// DropChunk leaves out the third chunk of each stream.
+	// DropChunk omits the third chunk of each stream.
 	DropChunk bool `json:"drop_chunk"`
 	Leaving   bool `json:"leaving"` // report that the engine is leaving
-	// SlowFactor multiplies the time between tokens (0: no change).
+	// SlowFactor multiplies the time between tokens; 0 for no change.
 	SlowFactor int `json:"slow_factor"`
-	// StaleReports makes load reports repeat the snapshot taken when it
-	// was set, as lagging reports do.
+	// StaleReports makes all load reports repeat the one at the time it was set, like
+	// reports that lag.
 	StaleReports bool `json:"stale_reports"`
 }
 
-// Server is the stand-in. Call New.
+// Server is the fake. Its zero value is not usable; call New.
 type Server struct {
 	cfg   Config
 	slots *slots
 	cache *prefixCache
 
-	mu       sync.Mutex
-	version  uint64
-	fencing  uint64
-	active   int
-	queued   int
-	faults   Faults
-	records  map[string][]uint64 // request ID → versions that produced tokens
-	open     map[string]*attempt // request ID → its newest attempt under way
-	requests int64
-	peak     int                // most streams active and queued at once
-	frozen   *engine.LoadReport // the report served while StaleReports is set
-	loaded   chan struct{}      // closed when the load under way ends; nil if none
-	loads    int                // load orders carried out
+	mu                sync.Mutex
+	version           uint64
+	fencing           uint64
+	active            int
+	queued            int
+	faults            Faults
+	versionsByRequest map[string][]uint64 // request ID → versions that produced its tokens
+	openAttempts      map[string]*attempt // request ID → its newest attempt in progress
+	requests          int64
+	peakRequests      int                // most streams active and queued at once
+	staleReport       *engine.LoadReport // report served while StaleReports is set
+	loadDone          chan struct{}      // closed when the load in progress ends; nil if there is none
+	loads             int                // load orders carried out
 }
 
 // New returns a Server configured by cfg.
@@ -84,17 +85,17 @@
 		cfg.CacheEntries = 64
 	}
 	return &Server{
-		cfg:     cfg,
-		slots:   newSlots(cfg.Slots),
-		cache:   newPrefixCache(cfg.CacheEntries),
-		version: cfg.WeightVersion,
-		records: map[string][]uint64{},
-		open:    map[string]*attempt{},
+		cfg:               cfg,
+		slots:             newSlots(cfg.Slots),
+		cache:             newPrefixCache(cfg.CacheEntries),
+		version:           cfg.WeightVersion,
+		versionsByRequest: map[string][]uint64{},
+		openAttempts:      map[string]*attempt{},
 	}
 }
 
-// Handler returns the engine protocol, with POST /v1/faults and
-// GET /v1/records/{id} for tests.
+// Handler returns the HTTP handler of the engine protocol, with POST /v1/faults and GET
+// /v1/records/{id} for tests.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", s.generate)
@@ -111,37 +112,37 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.frozen = nil
+	s.staleReport = nil
 	if f.StaleReports {
 		rep := s.reportLocked()
-		s.frozen = &rep
+		s.staleReport = &rep
 	}
 }
 
-// Versions returns the weight versions that produced tokens for requestID,
-// in order, without repeats.
+// Versions returns the weight versions that produced tokens for requestID, in order and
+// without duplicates.
 func (s *Server) Versions(requestID string) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]uint64(nil), s.records[requestID]...)
+	return append([]uint64(nil), s.versionsByRequest[requestID]...)
 }
 
-// Requests returns how many generate requests the stand-in has accepted.
+// Requests returns the number of generate requests received.
 func (s *Server) Requests() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
 }
 
-// PeakRequests returns the most requests the stand-in has held at once.
+// PeakRequests returns the most requests held at once.
 func (s *Server) PeakRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.peak
+	return s.peakRequests
 }
 
-// CacheCounts returns how many generations found their prompt's prefix in
-// the cache, and how many did not.
+// CacheCounts returns how many generations found the prefix of their prompt in the
+// cache, and how many did not.
 func (s *Server) CacheCounts() (hits, misses int64) { return s.cache.counts() }
 
 // Version returns the weight version loaded now.
@@ -159,15 +160,15 @@
 	s.mu.Lock()
 	s.requests++
 	s.queued++
-	s.peak = max(s.peak, s.active+s.queued)
+	s.peakRequests = max(s.peakRequests, s.active+s.queued)
 	f := s.faults
 	s.mu.Unlock()
 	if f.Silent {
 		<-r.Context().Done()
 		return
 	}
-	a := s.opened(req.RequestID)
-	defer s.closed(req.RequestID, a)
+	a := s.attemptStarted(req.RequestID)
+	defer s.attemptEnded(req.RequestID, a)
 	ready, release := s.slots.acquire(int(req.Priority))
 	defer release()
 	select {
@@ -177,13 +178,13 @@
 		return
 	}
 	s.dequeue(true)
-	s.running(a)
+	s.attemptRunning(a)
 	defer func() {
 		s.mu.Lock()
 		s.active--
 		s.mu.Unlock()
 	}()
-	if !s.cache.touch(prefix(req.Prompt)) && s.cfg.PrefillDelay > 0 {
+	if !s.cache.lookup(prefix(req.Prompt)) && s.cfg.PrefillDelay > 0 {
 		select {
 		case <-time.After(s.cfg.PrefillDelay):
 		case <-r.Context().Done():
@@ -218,12 +219,12 @@
 		case <-r.Context().Done():
 			return
 		}
-		if !s.pace(r.Context()) {
+		if !s.waitForPace(r.Context()) {
 			return
 		}
 		v, cut := s.tokenVersion(req.RequestID, i)
 		if cut {
-			panic(http.ErrAbortHandler) // the connection drops mid-stream
+			panic(http.ErrAbortHandler) // closes the connection mid-stream
 		}
 		s.write(enc, engine.Chunk{RequestID: req.RequestID, Index: i, Text: Token(req.Prompt, i), WeightVersion: v})
 		if flusher != nil {
@@ -233,15 +234,15 @@
 	_ = enc.Encode(engine.Chunk{RequestID: req.RequestID, Index: req.MaxTokens, Done: true, WeightVersion: s.Version()})
 }
 
-// pace waits while a load is under way, and for the extra time of a slow
-// engine; it reports false once ctx has ended.
-func (s *Server) pace(ctx context.Context) bool {
+// waitForPace waits while a load is in progress, and for the extra time of a slow
+// engine. It reports false once ctx has ended.
+func (s *Server) waitForPace(ctx context.Context) bool {
 	s.mu.Lock()
-	loaded, slow := s.loaded, s.faults.SlowFactor
+	loadDone, slow := s.loadDone, s.faults.SlowFactor
 	s.mu.Unlock()
-	if loaded != nil {
+	if loadDone != nil {
 		select {
-		case <-loaded:
+		case <-loadDone:
 		case <-ctx.Done():
 			return false
 		}
@@ -256,20 +257,20 @@
 	return true
 }
 
-// faultyChunk is the chunk that ForeignChunk and DropChunk strike.
-const faultyChunk = 2
+// faultyChunkIndex is the index of the chunk that ForeignChunk and DropChunk apply to.
+const faultyChunkIndex = 2
 
-// write sends c as the faults in force have it.
+// write sends c, subject to the faults in force.
 func (s *Server) write(enc *json.Encoder, c engine.Chunk) {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
-	if f.ForeignChunk && c.Index == faultyChunk {
+	if f.ForeignChunk && c.Index == faultyChunkIndex {
 		foreign := c
 		foreign.RequestID, foreign.Text = "another-request", "another member's balance "
 		_ = enc.Encode(foreign)
 	}
-	if f.DropChunk && c.Index == faultyChunk {
+	if f.DropChunk && c.Index == faultyChunkIndex {
 		return
 	}
 	_ = enc.Encode(c)
@@ -278,24 +279,23 @@
 	}
 }
 
-// tokenVersion records that the current version produced token i of id,
-// and reports whether the stream is to be cut here.
+// tokenVersion returns the current version, recording that it produced token i of
+// request id, and reports whether the stream is to be closed instead.
 func (s *Server) tokenVersion(id string, i int) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.CutAfter > 0 && i >= s.faults.CutAfter {
 		return 0, true
 	}
-	rec := s.records[id]
+	rec := s.versionsByRequest[id]
 	if len(rec) == 0 || rec[len(rec)-1] != s.version {
-		s.records[id] = append(rec, s.version)
+		s.versionsByRequest[id] = append(rec, s.version)
 	}
 	return s.version, false
 }
 
-// Token returns the fake token i that the stand-in generates after prompt:
-// a word that depends on both, so that answers to different requests
-// differ and a test can tell whose a token is.
+// Token returns the fake token i after prompt. It depends on both, so that responses to
+// different requests differ and a test can tell which request a token belongs to.
 func Token(prompt string, i int) string {
 	h := fnv.New32a()
 	fmt.Fprintf(h, "%s/%d", prompt, i)
@@ -310,8 +310,8 @@
 		return
 	}
 	rep := s.reportLocked()
-	if s.frozen != nil {
-		rep = *s.frozen
+	if s.staleReport != nil {
+		rep = *s.staleReport
 	}
 	s.mu.Unlock()
 	httpjson.Write(w, http.StatusOK, rep)
@@ -319,13 +319,13 @@
 
 func (s *Server) reportLocked() engine.LoadReport {
 	hits, misses := s.cache.counts()
-	return engine.LoadReport{Active: s.active, Queued: s.queued, Loading: s.loaded != nil, Leaving: s.faults.Leaving, WeightVersion: s.version,
+	return engine.LoadReport{Active: s.active, Queued: s.queued, Loading: s.loadDone != nil, Leaving: s.faults.Leaving, WeightVersion: s.version,
 		ChecksFencing: s.cfg.ChecksFencing, CacheHits: hits, CacheMisses: misses, At: time.Now()}
 }
 
 func prefix(prompt string) string {
-	if len(prompt) > prefixLen {
-		return prompt[:prefixLen]
+	if len(prompt) > cachePrefixBytes {
+		return prompt[:cachePrefixBytes]
 	}
 	return prompt
 }
--- a/pkg/engine/enginetest/server_test.go
+++ b/pkg/engine/enginetest/server_test.go
@@ -13,7 +13,7 @@
 	"github.com/zinnialadder/zinnialadder/pkg/engine/enginetest"
 )
 
-func drain(t *testing.T, c *engine.Client, req engine.GenerateRequest) {
+func readAll(t *testing.T, c *engine.Client, req engine.GenerateRequest) {
 	t.Helper()
 	s, err := c.Generate(context.Background(), req)
 	if err != nil {
@@ -29,8 +29,8 @@
 	}
 }
 
-// With its one slot busy, the stand-in starts a queued interactive stream
-// before a training stream queued earlier, and counts prefix cache hits.
+// With its only slot busy, the fake must start a queued interactive stream before a
+// training stream that was queued earlier, and it counts prefix cache hits.
 func TestPriorityAndPrefixCache(t *testing.T) {
 	e := enginetest.New(enginetest.Config{Slots: 1, TokenInterval: time.Millisecond})
 	srv := httptest.NewServer(e.Handler())
@@ -38,7 +38,7 @@
 	c := engine.NewClient(srv.Listener.Addr().String(), nil)
 	var g errgroup.Group
 	g.Go(func() error {
-		drain(t, c, engine.GenerateRequest{RequestID: "busy", Prompt: "a", MaxTokens: 50})
+		readAll(t, c, engine.GenerateRequest{RequestID: "busy", Prompt: "a", MaxTokens: 50})
 		return nil
 	})
 	time.Sleep(10 * time.Millisecond)
@@ -46,7 +46,7 @@
 	var order []string
 	run := func(id string, p engine.Priority) func() error {
 		return func() error {
-			drain(t, c, engine.GenerateRequest{RequestID: id, Prompt: "a", MaxTokens: 1, Priority: p})
+			readAll(t, c, engine.GenerateRequest{RequestID: id, Prompt: "a", MaxTokens: 1, Priority: p})
 			mu.Lock()
 			order = append(order, id)
 			mu.Unlock()
@@ -58,13 +58,13 @@
 	g.Go(run("interactive", engine.PriorityInteractive))
 	_ = g.Wait()
 	if len(order) != 2 || order[0] != "interactive" {
-		t.Fatalf("finished in order %v, want interactive first", order)
+		t.Fatalf("finished in order %v, want interactive, training", order)
 	}
 	rep, err := c.LoadReport(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if rep.CacheMisses != 1 || rep.CacheHits != 2 {
-		t.Fatalf("cache hits %d misses %d, want 2 and 1", rep.CacheHits, rep.CacheMisses)
+		t.Fatalf("cache hits, misses = %d, %d; want 2, 1", rep.CacheHits, rep.CacheMisses)
 	}
 }
--- a/pkg/engine/enginetest/sched.go
+++ b/pkg/engine/enginetest/slots.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// slots hands a fixed number of batch slots to waiting streams, highest
-// priority first and, within a priority, first come first served.
+// slots assigns a fixed number of batch slots to streams: highest priority first, and
+// in order of arrival within a priority.
 type slots struct {
 	mu    sync.Mutex
 	free  int
@@ -43,8 +43,8 @@
 
 func newSlots(n int) *slots { return &slots{free: n} }
 
-// acquire returns a channel that is closed when the caller holds a slot,
-// and a function that gives up the wait (or the slot, once held).
+// acquire returns a channel that is closed when the caller holds a slot, and a function
+// that ends the wait or releases the slot.
 func (s *slots) acquire(priority int) (<-chan struct{}, func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w.index >= 0 && w.index < len(s.queue) && s.queue[w.index] == w {
-		heap.Remove(&s.queue, w.index) // still waiting: leave the queue
+		heap.Remove(&s.queue, w.index) // still queued
 		return
 	}
 	s.free++
@@ -74,23 +74,23 @@
 	}
 }
 
-// prefixCache is a least-recently-used set of prompt prefixes of limited
-// size, as an engine's prefix cache holds them in limited memory.
+// prefixCache is an LRU set of prompt prefixes of limited size, like the prefix cache
+// of an engine.
 type prefixCache struct {
-	mu    sync.Mutex
-	size  int
-	order *list.List // front: most recent
-	items map[string]*list.Element
-	hits  int64
-	miss  int64
+	mu     sync.Mutex
+	size   int
+	order  *list.List // most recently used first
+	items  map[string]*list.Element
+	hits   int64
+	misses int64
 }
 
 func newPrefixCache(size int) *prefixCache {
 	return &prefixCache{size: size, order: list.New(), items: map[string]*list.Element{}}
 }
 
-// touch reports whether prefix was cached, and caches it.
-func (c *prefixCache) touch(prefix string) bool {
+// lookup reports whether prefix is cached, and adds it.
+func (c *prefixCache) lookup(prefix string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if el, ok := c.items[prefix]; ok {
@@ -98,7 +98,7 @@
 		c.hits++
 		return true
 	}
-	c.miss++
+	c.misses++
 	c.items[prefix] = c.order.PushFront(prefix)
 	for c.order.Len() > c.size {
 		old := c.order.Back()
@@ -111,5 +111,5 @@
 func (c *prefixCache) counts() (hits, misses int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hits, c.miss
+	return c.hits, c.misses
 }
--- a/pkg/engine/enginetest/status.go
+++ b/pkg/engine/enginetest/status.go
@@ -7,38 +7,38 @@
 	"github.com/zinnialadder/zinnialadder/pkg/engine"
 )
 
-// attempt is one generate request under way.
+// attempt is a generate request in progress.
 type attempt struct {
 	state engine.RequestState
 }
 
-func (s *Server) opened(id string) *attempt {
+func (s *Server) attemptStarted(id string) *attempt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := &attempt{state: engine.RequestQueued}
-	s.open[id] = a
+	s.openAttempts[id] = a
 	return a
 }
 
-func (s *Server) running(a *attempt) {
+func (s *Server) attemptRunning(a *attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a.state = engine.RequestRunning
 }
 
-func (s *Server) closed(id string, a *attempt) {
+func (s *Server) attemptEnded(id string, a *attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open[id] == a {
-		delete(s.open, id)
+	if s.openAttempts[id] == a {
+		delete(s.openAttempts, id)
 	}
 }
 
-// status answers what has become of a request.
+// status handles GET /v1/requests/{id}.
 func (s *Server) status(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	st := engine.RequestStatus{State: engine.RequestUnknown}
-	if a, ok := s.open[r.PathValue("id")]; ok {
+	if a, ok := s.openAttempts[r.PathValue("id")]; ok {
 		st.State = a.state
 	}
 	s.mu.Unlock()
