--- a/pkg/service/service.go
+++ b/pkg/service/service.go
@@ -1,12 +1,12 @@
-// Package service speaks to plain services, the back ends that are not
-// model engines. Some of their calls may not be repeated.
+// Package service is a client for plain services, the upstreams that are not model
+// engines. Some of their calls must not be repeated.
 //
 // The protocol is HTTP with JSON bodies:
 //
-//	POST /v1/calls/{method}   any JSON body; Idempotency-Key names the call
+//	POST /v1/calls/{method}   any JSON body; Idempotency-Key identifies the call
 //
-// A service that turns a call away before running it answers with the
-// header Zinnia-Verdict: not_run; no other failure says that.
+// A service that refuses a call before running it responds with the header
+// Zinnia-Verdict: not_run. No other response means that the call was not run.
 package service
 
 import (
@@ -20,36 +20,35 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// KeyHeader names a call so that a service and zinnialadder can tell a
-// repeat from a new call.
+// KeyHeader is the request header that identifies a call, so that a service and
+// zinnialadder can tell a repeated call from a new one.
 const KeyHeader = "Idempotency-Key"
 
-// Client speaks to one service at an address such as "127.0.0.1:7201".
+// Client is a client for one service at an address such as "127.0.0.1:7201".
 type Client struct {
 	server httpjson.Client
 }
 
-// NewClient returns a Client for the service at addr. A nil hc means
+// NewClient returns a Client for the service at addr. A nil httpClient means
 // http.DefaultClient.
-func NewClient(addr string, hc *http.Client) *Client {
-	return &Client{server: httpjson.NewClient("http://"+addr, hc)}
+func NewClient(addr string, httpClient *http.Client) *Client {
+	return &Client{server: httpjson.NewClient("http://"+addr, httpClient)}
 }
 
-// Call invokes method with body under key and returns the answer's body.
-// Errors carry a verdict (see verdict.Of): a service not reached, or that
-// says so, did not run the call; an answer outside 2xx ran; with any other
-// error the call may have run.
+// Call calls method with body under key and returns the response's body. Errors carry a
+// verdict (see verdict.Of): the call was not run if the service was not reached or says
+// so; it ran if the status is not 2xx; after any other error it may have run.
 //
-// A call that is not idempotent is sent at most once: net/http would
-// otherwise resend a request bearing an Idempotency-Key header by itself
-// when a reused connection breaks before the answer.
+// A call that is not idempotent is sent at most once: net/http would otherwise resend a
+// request with an Idempotency-Key header on its own when a reused connection breaks
+// before the response.
 func (c *Client) Call(ctx context.Context, method, key string, idempotent bool, body json.RawMessage) (json.RawMessage, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.server.Base+"/v1/calls/"+method, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
 	if !idempotent {
-		req.GetBody = nil // a request whose body cannot be rewound is never resent
+		req.GetBody = nil // net/http never resends a request whose body cannot be rewound
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(KeyHeader, key)
--- a/pkg/service/servicetest/server.go
+++ b/pkg/service/servicetest/server.go
@@ -1,5 +1,5 @@
-// Package servicetest is a stand-in for a plain service. Every call runs
-// and is counted per Idempotency-Key, so tests can see a call that ran twice.
+// Package servicetest is a fake of a plain service. It counts the executions of each
+// Idempotency-Key, so that tests detect a call that ran twice.
 package servicetest
 
 import (
@@ -13,24 +13,25 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// Result is the answer of a call.
+// Result is the response to a call.
 type Result struct {
 	Method    string          `json:"method"`
 	Key       string          `json:"key"`
-	Execution int             `json:"execution"` // 1 for the first run of Key
+	Execution int             `json:"execution"` // 1 for the first execution of Key
 	Echo      json.RawMessage `json:"echo"`
 }
 
-// Server is the stand-in. Its zero value is ready to use.
+// Server is the fake. Its zero value is ready to use.
 type Server struct {
-	mu         sync.Mutex
-	executions map[string]int
-	loseReply  int
-	refuse     int
-	delay      time.Duration
+	mu            sync.Mutex
+	executions    map[string]int
+	repliesToLose int
+	callsToRefuse int
+	delay         time.Duration
 }
 
-// Handler returns the service protocol, with GET /v1/executions for tests.
+// Handler returns the HTTP handler of the service protocol, with GET /v1/executions for
+// tests.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/calls/{method}", s.call)
@@ -40,7 +41,7 @@
 	return mux
 }
 
-// Executions returns how many times each key has run.
+// Executions returns how often the call with each key was executed.
 func (s *Server) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,35 +52,35 @@
 	return out
 }
 
-// LoseReplies makes the next n calls run and then lose their reply.
+// LoseReplies makes the service execute the next n calls and drop their responses.
 func (s *Server) LoseReplies(n int) {
 	s.mu.Lock()
-	s.loseReply = n
+	s.repliesToLose = n
 	s.mu.Unlock()
 }
 
-// Refuse makes the service turn the next n calls away without running them.
+// Refuse makes the service refuse the next n calls without executing them.
 func (s *Server) Refuse(n int) {
 	s.mu.Lock()
-	s.refuse = n
+	s.callsToRefuse = n
 	s.mu.Unlock()
 }
 
-// Delay makes the service wait for d before it answers each call.
+// Delay makes the service wait for d before each response.
 func (s *Server) Delay(d time.Duration) {
 	s.mu.Lock()
 	s.delay = d
 	s.mu.Unlock()
 }
 
-// refused reports whether this call is to be turned away.
-func (s *Server) refused() bool {
+// takeRefusal reports whether this call is to be refused, and counts the refusal.
+func (s *Server) takeRefusal() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refuse == 0 {
+	if s.callsToRefuse == 0 {
 		return false
 	}
-	s.refuse--
+	s.callsToRefuse--
 	return true
 }
 
@@ -88,7 +89,7 @@
 	if !httpjson.Read(w, r, &body) {
 		return
 	}
-	if s.refused() {
+	if s.takeRefusal() {
 		w.Header().Set(verdict.Header, verdict.NotRun.String())
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return
@@ -101,9 +102,9 @@
 	}
 	s.executions[key]++
 	res := Result{Method: r.PathValue("method"), Key: key, Execution: s.executions[key], Echo: body}
-	lose := s.loseReply > 0
+	lose := s.repliesToLose > 0
 	if lose {
-		s.loseReply--
+		s.repliesToLose--
 	}
 	s.mu.Unlock()
 	time.Sleep(delay)
