--- a/pkg/catalogue/file.go
+++ b/pkg/catalogue/file.go
@@ -126,11 +126,11 @@
 
 // sameItem reports whether the stored value equals v, except for the generation.
 func sameItem(stored json.RawMessage, v any) bool {
-	fresh := reflect.New(reflect.TypeOf(v))
-	if json.Unmarshal(stored, fresh.Interface()) != nil {
+	decoded := reflect.New(reflect.TypeOf(v))
+	if json.Unmarshal(stored, decoded.Interface()) != nil {
 		return false
 	}
-	got := fresh.Elem()
+	got := decoded.Elem()
 	want := reflect.New(reflect.TypeOf(v)).Elem()
 	want.Set(reflect.ValueOf(v))
 	got.FieldByName("Generation").SetUint(0)
--- a/pkg/control/control_test.go
+++ b/pkg/control/control_test.go
@@ -74,9 +74,9 @@
 	if len(started) != 5 {
 		t.Fatalf("started %v, want 5 kinds of tasks", started)
 	}
-	for what, n := range started {
+	for kind, n := range started {
 		if n != 1 {
-			t.Errorf("%s started %d times without ending, want once", what, n)
+			t.Errorf("%s started %d times without ending, want once", kind, n)
 		}
 	}
 }
@@ -113,13 +113,13 @@
 		s := control.New(control.Member{ID: id, Address: id + ":1"}, timing)
 		s, _ = control.Reduce(s, control.MembersRead{Rows: rows, At: now})
 		s, effs := control.Reduce(s, control.StepsRead{Heads: heads})
-		mine := shards(effs)
-		all = append(all, mine...)
+		own := shards(effs)
+		all = append(all, own...)
 		if s, effs = control.Reduce(s, control.StepsRead{Heads: heads}); len(shards(effs)) != 0 {
 			t.Fatalf("%s started %v again, want none", id, shards(effs))
 		}
 		s, _ = control.Reduce(s, control.DrainStarted{})
-		for _, shard := range mine {
+		for _, shard := range own {
 			var k int
 			if _, err := fmt.Sscanf(shard, "c/e/s/%d", &k); err != nil {
 				t.Fatal(err)
--- a/pkg/control/reduce.go
+++ b/pkg/control/reduce.go
@@ -117,7 +117,7 @@
 
 // reportRound reads the load reports of the next ReportBudget engines, in rotation, so
 // that an instance's reads are bounded however many engines the catalogue holds.
-// Between reads the instance's own requests in flight tell the load.
+// Between reads the instance's own requests in flight approximate the load.
 func (s State) reportRound(effs []Effect) (State, []Effect) {
 	n := min(s.timing.ReportBudget, len(s.engines))
 	for i := 0; i < n; i++ {
--- a/pkg/customer/customer.go
+++ b/pkg/customer/customer.go
@@ -104,10 +104,10 @@
 	var d Diff
 	before, after := old.entries(), x.entries()
 	for _, name := range slices.Sorted(maps.Keys(after)) {
-		switch was, ok := before[name]; {
+		switch previous, ok := before[name]; {
 		case !ok:
 			d.Added = append(d.Added, name)
-		case !sameKeys(was, after[name]):
+		case !sameKeys(previous, after[name]):
 			d.KeysChanged = append(d.KeysChanged, name)
 		}
 	}
--- a/pkg/customer/customer_test.go
+++ b/pkg/customer/customer_test.go
@@ -65,14 +65,14 @@
 }
 
 func TestNewIndexRejectsInvalidEntries(t *testing.T) {
-	for what, entries := range map[string][]customer.Entry{
+	for name, entries := range map[string][]customer.Entry{
 		"no name":                          {entry("", "k")},
 		"duplicate name":                   {entry("a", "k"), entry("a", "l")},
 		"duplicate key":                    {entry("a", "k"), entry("b", "k")},
 		"one duplicate among several keys": {entry("a", "k", "l"), entry("b", "m", "l")},
 	} {
 		if _, err := customer.NewIndex(entries); err == nil {
-			t.Errorf("%s: NewIndex returned no error", what)
+			t.Errorf("%s: NewIndex returned no error", name)
 		}
 	}
 	if _, err := customer.NewIndex([]customer.Entry{entry("a", "k", "k")}); err != nil {
--- a/pkg/routetable/diff.go
+++ b/pkg/routetable/diff.go
@@ -28,10 +28,10 @@
 	before, after := old.byName(), t.byName()
 	d := Diff{Limits: old.Limits != t.Limits, Pools: !reflect.DeepEqual(old.Pools, t.Pools)}
 	for name, r := range after {
-		switch was, ok := before[name]; {
+		switch previous, ok := before[name]; {
 		case !ok:
 			d.Added = append(d.Added, name)
-		case !reflect.DeepEqual(was, r):
+		case !reflect.DeepEqual(previous, r):
 			d.Changed = append(d.Changed, name)
 		}
 	}
--- a/pkg/submission/generate.go
+++ b/pkg/submission/generate.go
@@ -61,7 +61,7 @@
 // arrive; the events not flushed are returned. The attempt is cancelled with ownerCtx,
 // and when the engine sends nothing for firstEventTimeout or eventTimeout.
 func (r *Runner) generate(ownerCtx context.Context, t *upstream.Reservation, elsewhere upstream.Requirements, g GenerateRequest, flush func(AttemptOutput)) (AttemptOutput, error) {
-	guarded, err := r.cfg.Guard.Begin(ownerCtx, g.content(r.spec.Model), t.Entry)
+	attempt, err := r.cfg.Guard.Begin(ownerCtx, g.content(r.spec.Model), t.Entry)
 	if err != nil {
 		t.Release()
 		return AttemptOutput{}, err
@@ -94,13 +94,13 @@
 		// Cancelled by this instance: this says nothing about the engine.
 	case ctx.Err() == nil && s != nil && s.Last() > g.After:
 		// The engine ended a stream that had sent events: it loads weights, is being
-		// taken away or has crashed. The next request to it will tell which.
+		// taken away or has crashed. The next request to it shows which.
 		res.Busy, res.BusyUntil = true, now.Add(refusalBackoff)
 	default:
 		res.Failed = true
 	}
 	t.Done(res)
-	guarded.Done(ownerCtx, outcome(ctx, p, err))
+	attempt.Done(ownerCtx, outcome(ctx, p, err))
 	return p, err
 }
 
--- a/pkg/submission/item_timing.go
+++ b/pkg/submission/item_timing.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ItemTiming holds the times and attempts of one item at one owner. Operators read from
-// the log lines made of it what a training step waited for.
+// ItemTiming holds the times and attempts of one item at one owner. They are logged, so
+// that operators can see what a training step waited for.
 type ItemTiming struct {
 	GenerationStartedAt time.Time     // start of the first attempt that produced events; zero if there was none
 	GenerationEndedAt   time.Time     // when the text was complete, or the last attempt ended
--- a/pkg/submission/run.go
+++ b/pkg/submission/run.go
@@ -171,11 +171,11 @@
 			return
 		}
 	}
-	whole := it.extend(p, r.spec.MinVersion, policy) && p.Complete && it.lastEvent > 0
+	complete := it.extend(p, r.spec.MinVersion, policy) && p.Complete && it.lastEvent > 0
 	switch {
-	case whole && r.spec.Items[i].Scorer != nil:
+	case complete && r.spec.Items[i].Scorer != nil:
 		it.phase = unscored
-	case whole:
+	case complete:
 		r.finish(i, Result{State: Done}, now)
 	case len(p.Events) == 0:
 		it.notBefore = now.Add(retryDelay)
--- a/pkg/submission/run_test.go
+++ b/pkg/submission/run_test.go
@@ -66,13 +66,13 @@
 		generationErrors, scoringErrors := map[int]int{}, map[int]int{}
 		producers := map[int][]uint64{} // version that produced each event of the text so far
 
-		end := func(t *rapid.T, a *attempt, p submission.AttemptOutput) {
+		endAttempt := func(t *rapid.T, a *attempt, p submission.AttemptOutput) {
 			inFlight = slices.DeleteFunc(inFlight, func(b *attempt) bool { return a == b })
 			run.AttemptEnded(a.item, p, policy, now)
 		}
-		take := func(t *rapid.T) {
-			if wait := run.Waiting(now); len(wait) > 0 {
-				i := wait[0]
+		startAttempts := func(t *rapid.T) {
+			if items := run.Waiting(now); len(items) > 0 {
+				i := items[0]
 				after, _ := run.LastEvent(i)
 				if after == 0 {
 					producers[i] = nil
@@ -80,12 +80,12 @@
 				run.Started(i, now)
 				inFlight = append(inFlight, &attempt{item: i, after: after, lastEvent: after, version: rapid.Uint64Range(2, 5).Draw(t, "version")})
 			}
-			if wait := run.Unscored(now); len(wait) > 0 {
-				run.Started(wait[0], now)
-				inFlight = append(inFlight, &attempt{item: wait[0], scoring: true})
+			if items := run.Unscored(now); len(items) > 0 {
+				run.Started(items[0], now)
+				inFlight = append(inFlight, &attempt{item: items[0], scoring: true})
 			}
 		}
-		give := func(a *attempt, n int) submission.AttemptOutput {
+		produce := func(a *attempt, n int) submission.AttemptOutput {
 			to := min(a.lastEvent+n, textEvents)
 			p := submission.AttemptOutput{Events: events(a.item, a.lastEvent+1, to)}
 			if to > a.lastEvent {
@@ -98,28 +98,28 @@
 			return p
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"take": take,
+			"take": startAttempts,
 			"extend": func(t *rapid.T) {
 				if a := drawAttempt(t, inFlight, false); a != nil {
-					run.AddEvents(a.item, give(a, rapid.IntRange(1, 3).Draw(t, "n")), policy)
+					run.AddEvents(a.item, produce(a, rapid.IntRange(1, 3).Draw(t, "n")), policy)
 				}
 			},
 			"break": func(t *rapid.T) {
 				if a := drawAttempt(t, inFlight, false); a != nil {
-					end(t, a, give(a, rapid.IntRange(0, 2).Draw(t, "n")))
+					endAttempt(t, a, produce(a, rapid.IntRange(0, 2).Draw(t, "n")))
 				}
 			},
 			"fail": func(t *rapid.T) {
 				if a := drawAttempt(t, inFlight, false); a != nil && a.lastEvent == a.after {
 					generationErrors[a.item]++
-					end(t, a, submission.AttemptOutput{Status: http.StatusInternalServerError})
+					endAttempt(t, a, submission.AttemptOutput{Status: http.StatusInternalServerError})
 				}
 			},
 			"finish": func(t *rapid.T) {
 				if a := drawAttempt(t, inFlight, false); a != nil {
-					p := give(a, textEvents)
+					p := produce(a, textEvents)
 					p.Complete = true
-					end(t, a, p)
+					endAttempt(t, a, p)
 				}
 			},
 			"score": func(t *rapid.T) {
@@ -174,12 +174,12 @@
 }
 
 func checkResults(t *rapid.T, spec submission.Spec, written []submission.Result, policy submission.ItemPolicy, scored bool, generationErrors, scoringErrors map[int]int) {
-	seen := map[string]bool{}
+	hasResult := map[string]bool{}
 	for _, r := range written {
-		if seen[r.Item] {
+		if hasResult[r.Item] {
 			t.Fatalf("item %s has two results, want one", r.Item)
 		}
-		seen[r.Item] = true
+		hasResult[r.Item] = true
 		i := slices.IndexFunc(spec.Items, func(it submission.Item) bool { return it.ID == r.Item })
 		if r.State == submission.Dead {
 			if generationErrors[i] < policy.MaxAttempts && scoringErrors[i] < 4 {
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -69,8 +69,8 @@
 	settled := end.Add(settleDelay)
 	last := c.Due(w).Add(-sendMargin)
 	at := settled
-	if back := reachableSince.Add(recoveryDelay); back.After(at) && reachableSince.After(end) {
-		at = back
+	if recovered := reachableSince.Add(recoveryDelay); recovered.After(at) && reachableSince.After(end) {
+		at = recovered
 	}
 	if at.After(last) && last.After(settled) {
 		return last
--- a/pkg/usage/usage_test.go
+++ b/pkg/usage/usage_test.go
@@ -33,7 +33,7 @@
 // if the store was unavailable meanwhile, and early enough to be reported in time.
 func TestCloseAt(t *testing.T) {
 	w := schedule.WindowAt(at(0)) // ends at 5, due at 15
-	for what, c := range map[string]struct{ reachableSince, want float64 }{
+	for name, c := range map[string]struct{ reachableSince, want float64 }{
 		"store always available":                  {-100, 8.3},
 		"available before the end":                {4.9, 8.3},
 		"available soon after the end":            {6, 8.3},
@@ -43,7 +43,7 @@
 		"available just before sending starts":    {12.4, 12.5},
 	} {
 		if got := schedule.CloseAt(w, at(c.reachableSince)); !got.Equal(at(c.want)) {
-			t.Errorf("%s: CloseAt is %v after the window's start, want %vs", what, got.Sub(at(0)), c.want)
+			t.Errorf("%s: CloseAt is %v after the window's start, want %vs", name, got.Sub(at(0)), c.want)
 		}
 	}
 }
@@ -133,8 +133,8 @@
 				if r, due := b.ToSend(now); due {
 					outcome := rapid.SampledFrom([]string{"accepted", "refused", "lost"}).Draw(t, "outcome")
 					if outcome != "refused" {
-						if was, ok := accepted[r.Window]; ok && was != r.FinalizedBy {
-							t.Fatalf("window %d reported as finalized by %s and by %s, want one content", r.Window, was, r.FinalizedBy)
+						if earlier, ok := accepted[r.Window]; ok && earlier != r.FinalizedBy {
+							t.Fatalf("window %d reported as finalized by %s and by %s, want one content", r.Window, earlier, r.FinalizedBy)
 						}
 						accepted[r.Window] = r.FinalizedBy
 					}
