--- a/pkg/node/addresses.go
+++ b/pkg/node/addresses.go
@@ -10,33 +10,38 @@
 )
 
 const (
-	// maxAddresses is how many addresses a caller is told at the most.
+	// maxAddresses is the maximum number of addresses given to a caller.
 	maxAddresses = 64
-	// minAddresses and addressShare are how many of the instances callers are
-	// told: enough to bear the loss of some, and few enough that the instances'
-	// connections to plain services are used again before they are closed.
+	// minAddresses and addressShare determine how many instances are advertised to
+	// callers: enough that the loss of some is tolerable, and few enough that
+	// connections from the instances to plain services are reused before they are
+	// closed for idleness.
 	minAddresses = 6
 	addressShare = 0.1
-	// standbyShare is how many instances keep ready to be told, in parts of
-	// those that are: as many as half of them may be lost at once.
-	standbyShare = 1.5
+	// standbyFactor is the number of instances that are ready to be advertised,
+	// relative to the number advertised. Up to half of the advertised ones may be lost
+	// at once.
+	standbyFactor = 1.5
 )
 
-// addressKey ranks the instances that callers are told.
-const addressKey = "callers"
+// addressRankKey is the key by which instances are ranked for callers.
+const addressRankKey = "callers"
 
-// Addresses returns where callers may connect, in random order: some of the live
-// instances that are not draining, the same ones from every instance, larger ones
-// rather than small. An instance that knows of nobody tells its own. One that has
-// lost the store leaves itself out, as it can keep no submission. Once what it knows
-// of the others is old it tells its own only, which is there for sure: while the store
-// is away for all and instances are replaced, callers would run out of addresses.
+// Addresses returns the addresses that callers may connect to, in random order. They
+// are those of some of the live instances that do not drain, the same from every
+// instance, with a preference for larger instances.
+//
+// An instance that knows of no other member returns its own address. One that cannot
+// reach the store leaves itself out, because it cannot accept submissions. If the
+// member table has been unavailable too long, an instance returns only its own address,
+// which is certain to be live: otherwise, when the store is unavailable for all
+// instances while instances are replaced, callers would run out of usable addresses.
 func (n *Node) Addresses() []string {
-	st := n.standing.Load()
+	st := n.ranking.Load()
 	if st == nil || !n.membersCurrent.Load() {
 		return n.ownAddress()
 	}
-	out := toldAddresses(st.callers(), func(m *membership.Member) bool {
+	out := advertisedAddresses(st.callers(), func(m *membership.Member) bool {
 		return m.Name == n.cfg.Name && (!n.Ready() || n.cfg.StoreReachability.Unreachable())
 	})
 	if len(out) == 0 {
@@ -53,55 +58,57 @@
 	return []string{n.cfg.Address}
 }
 
-// toldAddresses returns the addresses of the members that callers are told, of those
-// ranked for them, without those that except reports: of those that are missed soon
-// after they are gone if there are any, as others may have gone long since.
-func toldAddresses(ranked []*membership.Member, except func(*membership.Member) bool) []string {
-	count := toldCount(len(ranked))
-	able := slices.DeleteFunc(slices.Clone(ranked), except)
-	if slices.ContainsFunc(able, func(m *membership.Member) bool { return m.Advertisable }) {
-		able = slices.DeleteFunc(able, func(m *membership.Member) bool { return !m.Advertisable })
+// advertisedAddresses returns the addresses given to callers, from the members as
+// ranked for callers, without those for which except returns true. If any are
+// advertisable, which means that a failure is detected quickly, only those are used:
+// the others may have been gone for long.
+func advertisedAddresses(ranked []*membership.Member, except func(*membership.Member) bool) []string {
+	count := advertisedCount(len(ranked))
+	usable := slices.DeleteFunc(slices.Clone(ranked), except)
+	if slices.ContainsFunc(usable, func(m *membership.Member) bool { return m.Advertisable }) {
+		usable = slices.DeleteFunc(usable, func(m *membership.Member) bool { return !m.Advertisable })
 	}
 	var out []string
-	for _, m := range able[:min(count, len(able))] {
+	for _, m := range usable[:min(count, len(usable))] {
 		out = append(out, m.Address)
 	}
 	return out
 }
 
-// callersHead has owners rank the instances that callers are told.
-var callersHead = submission.Head{Host: addressKey}
+// callersHead makes owners rank the instances for callers.
+var callersHead = submission.Head{Host: addressRankKey}
 
 func rankedForCallers(live []*membership.Member) []*membership.Member {
 	return owners(live, callersHead)
 }
 
-// toldCount returns how many of n instances callers are told.
-func toldCount(n int) int {
+// advertisedCount returns how many of n instances are advertised to callers.
+func advertisedCount(n int) int {
 	return min(max(minAddresses, int(addressShare*float64(n))), n, maxAddresses)
 }
 
-// duty returns what others rely on this instance for.
-func (n *Node) duty() membership.Role {
-	if n.readers.owning() > 0 {
+// role returns what other processes rely on this instance for.
+func (n *Node) role() membership.Role {
+	if n.reader.runCount() > 0 {
 		return membership.Owner
 	}
-	if st := n.standing.Load(); n.follower.IsRelay() || st != nil && st.standby() {
+	if st := n.ranking.Load(); n.follower.IsRelay() || st != nil && st.standby() {
 		return membership.Advertised
 	}
 	return membership.Idle
 }
 
-// standbyCount returns how many of n instances, in the order in which they are ranked for
-// callers, are told or would be if some of these were gone.
-func standbyCount(n int) int { return min(int(standbyShare*float64(toldCount(n))), n) }
+// standbyCount returns how many of n instances, in rank order for callers, are
+// advertised or would be if some of them were lost.
+func standbyCount(n int) int { return min(int(standbyFactor*float64(advertisedCount(n))), n) }
 
-// isStandby reports whether the instance named name is one of these among r.
+// isStandby reports whether the instance named name is one of the standbyCount first
+// members of r.
 func isStandby(name string, r *membership.Roster) bool {
 	self, ok := r.Member(name)
 	if !ok || self.Draining {
 		return false
 	}
-	callers := able(r.Members)
+	callers := nonDraining(r.Members)
 	return route.WeightedRankOf(callers, memberName, memberCores, ownerKey(callersHead), self) < standbyCount(len(callers))
 }
--- a/pkg/node/addresses_test.go
+++ b/pkg/node/addresses_test.go
@@ -13,7 +13,7 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// fleet is many instances that renew their rows, all of which read them, in
+// fleet simulates many instances that renew their rows and read those of the others, in
 // simulated time.
 type fleet struct {
 	t       *testing.T
@@ -21,10 +21,10 @@
 	version uint64
 	view    *membership.View
 	size    int
-	next    map[string]time.Time // renewals, by name; none of those that are off
+	next    map[string]time.Time // next renewal, by name, of the instances that are on
 
-	lookedAt time.Time
-	standbys map[string]bool // as seen then
+	standbysReadAt time.Time
+	standbys       map[string]bool // standbys at standbysReadAt
 }
 
 const step = 50 * time.Millisecond
@@ -37,7 +37,7 @@
 	return f
 }
 
-// live returns the members as an instance that is not off sees them.
+// live returns the live members as seen by an instance that is on.
 func (f *fleet) live() []*membership.Member {
 	for i := f.size - 1; i >= 0; i-- {
 		name := fmt.Sprintf("n%03d", i)
@@ -48,12 +48,12 @@
 	return nil
 }
 
-// play lets d pass: every instance renews its row as often as its duty wants, at
-// which it looks twice a second.
-func (f *fleet) play(d time.Duration) {
+// run advances the time by d. Every instance renews its row as often as its role
+// requires. Roles are updated twice a second.
+func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
-		if f.now.Sub(f.lookedAt) >= 10*step {
-			f.lookedAt, f.standbys = f.now, map[string]bool{}
+		if f.now.Sub(f.standbysReadAt) >= 10*step {
+			f.standbysReadAt, f.standbys = f.now, map[string]bool{}
 			for _, m := range node.Standbys(f.live()) {
 				f.standbys[m.Name] = true
 			}
@@ -89,25 +89,25 @@
 	}
 }
 
-func (f *fleet) told() []string {
+func (f *fleet) advertised() []string {
 	return node.AdvertisedAddresses(f.live(), func(*membership.Member) bool { return false })
 }
 
-// Whatever part of a site loses power at once, of 10, 90 or 370 instances, callers
-// are told of none that has been off for four seconds, nor of nobody; rows are
-// renewed less than a hundred times a second.
-func TestNobodyIsToldOfWhatIsLongOff(t *testing.T) {
+// Part of a site of 10, 90 or 370 instances loses power at once. Callers must not be
+// given the address of an instance that has been off for four seconds, nor an empty
+// list. Rows must be renewed at most 100 times a second.
+func TestNoInstanceAdvertisedLongAfterPowerLoss(t *testing.T) {
 	for _, size := range []int{10, 90, 370} {
 		for _, part := range []float64{0.01, 0.35, 0.6, 0.9} {
 			f := newFleet(t, size)
-			f.play(25 * time.Second) // rows were written at the period of idle ones first
+			f.run(25 * time.Second) // initially rows are renewed at the period of idle instances
 			before := f.version
-			f.play(10 * time.Second)
+			f.run(10 * time.Second)
 			if rate := float64(f.version-before) / 10; rate > 100 {
-				t.Errorf("%d instances: %.0f renewals a second", size, rate)
+				t.Errorf("%d instances: %.0f renewals per second, want at most 100", size, rate)
 			}
 			off := map[string]bool{}
-			for i, name := range f.told() { // those that callers are told of among them
+			for i, name := range f.advertised() { // include some of the advertised ones
 				if i%2 == 0 {
 					off[name] = true
 				}
@@ -119,14 +119,14 @@
 				delete(f.next, name)
 			}
 			for passed := time.Duration(0); passed < 30*time.Second; passed += 500 * time.Millisecond {
-				f.play(500 * time.Millisecond)
-				told := f.told()
-				if len(told) == 0 {
-					t.Errorf("%d instances, %.0f%% off for %v: nobody is told", size, 100*part, passed)
+				f.run(500 * time.Millisecond)
+				advertised := f.advertised()
+				if len(advertised) == 0 {
+					t.Errorf("%d instances, %.0f%% off for %v: no address is advertised, want at least one", size, 100*part, passed)
 				}
-				for _, name := range told {
+				for _, name := range advertised {
 					if off[name] && passed >= 4*time.Second {
-						t.Fatalf("%d instances, %.0f%% off for %v: callers are told of %s", size, 100*part, passed, name)
+						t.Fatalf("%d instances, %.0f%% off for %v: %s is advertised, want no instance that is off", size, 100*part, passed, name)
 					}
 				}
 			}
@@ -134,38 +134,39 @@
 	}
 }
 
-// Peers are asked from the own data centre first and then from others, those that
-// drain last.
-func TestPeersToAsk(t *testing.T) {
+// One peer of the own data centre comes first, then those of other data centres, then
+// the rest; peers that drain come last.
+func TestPeerOrder(t *testing.T) {
 	members := []*membership.Member{{Name: "self", PeerAddress: "self", DataCentre: "z1"}, {Name: "a", PeerAddress: "a", DataCentre: "z1", Draining: true},
 		{Name: "b", PeerAddress: "b", DataCentre: "z1"}, {Name: "c", PeerAddress: "c", DataCentre: "z1"}, {Name: "d", PeerAddress: "d", DataCentre: "z2"},
 		{Name: "e", DataCentre: "z2"}}
 	if got := fmt.Sprint(node.PeersToAsk(members, "self", "z1", []int{5, 4, 3, 2, 1, 0})); got != "[c d b a]" {
-		t.Errorf("asks %s", got)
+		t.Errorf("PeersToAsk = %s, want [c d b a]", got)
 	}
 }
 
-// An owner that renews its row is never taken for gone by an idle member, which reads
-// the rows as seldom as the number of members asks, also while the store takes sixty
-// times as long as usual: its submissions would be taken over and run twice.
-func TestOwnersLiveHoweverManyMembers(t *testing.T) {
+// An idle member, which reads the rows as seldom as the number of members requires,
+// must never consider an owner gone that renews its row, even while the store takes
+// sixty times as long as usual. Otherwise the owner's submissions would be taken over
+// and run twice.
+func TestOwnersStayLiveForAnyMemberCount(t *testing.T) {
 	const slowCall = 300 * time.Millisecond // 60 times 5 ms
 	for _, members := range []int{10, 100, 370, 1000} {
 		f := newFleet(t, 2)
 		f.renew("n001", membership.RenewalPeriod(members, membership.Idle))
 		for range 20 {
 			f.renew("n000", membership.RenewalPeriod(members, membership.Owner))
-			f.now = f.now.Add(node.MembersReadInterval(members) + slowCall) // the next read, in which it has renewed
+			f.now = f.now.Add(node.MembersReadInterval(members) + slowCall) // the next read, which shows the renewal
 			if live := f.view.Live(f.now, "n001"); len(live) != 2 {
-				t.Fatalf("among %d members an owner is taken for gone after %v without a read", members, node.MembersReadInterval(members)+slowCall)
+				t.Fatalf("%d members: an owner that renews its row is not live after %v without a read", members, node.MembersReadInterval(members)+slowCall)
 			}
 			f.renew("n001", membership.RenewalPeriod(members, membership.Idle))
 		}
 	}
 }
 
-// Each instance finds out by itself whether it is one of those that are kept ready.
-func TestStandbysKnowThemselves(t *testing.T) {
+// IsStandby must agree with Standbys for each instance.
+func TestIsStandbyMatchesStandbys(t *testing.T) {
 	for _, n := range []int{1, 5, 40, 300} {
 		var live []*membership.Member
 		for i := range n {
@@ -174,7 +175,7 @@
 		ready := node.Standbys(live)
 		for _, m := range live {
 			if got, want := node.IsStandby(m.Name, live), slices.Contains(ready, m); got != want {
-				t.Errorf("%s of %d: standby %t, want %t", m.Name, n, got, want)
+				t.Errorf("IsStandby(%s) among %d = %t, want %t", m.Name, n, got, want)
 			}
 		}
 	}
--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -12,12 +12,12 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// Errors of requests that are turned away for what they ask or who asks.
+// Errors of requests that are rejected for their target or their caller.
 var (
-	errNoConfiguration = errors.New("node: no configuration yet")
+	errNoConfiguration = errors.New("node: no configuration has been read yet")
 	errNoRoute         = errors.New("node: no route")
-	errNoKey           = errors.New("node: no key, or one that no customer has")
-	errAnothers        = errors.New("node: another customer's submission has this ID")
+	errNoKey           = errors.New("node: API key missing or unknown")
+	errOtherCustomer   = errors.New("node: another customer's submission has this ID")
 )
 
 // Route returns the route of a request, or a *verdict.Error.
@@ -29,9 +29,10 @@
 	return n.match(t, host, path)
 }
 
-// Admit returns the route of a request and the customer who has its key, nobody on
-// a public route and where callers need no keys, or a *verdict.Error: status 404
-// without a route, 401 without a key that is in force.
+// Admit returns the route of a request and the customer that its API key belongs to.
+// The customer is zero on a public route and where no API keys are required. The error
+// is a *verdict.Error: with status 404 if there is no route, 401 if no customer has the
+// key.
 func (n *Node) Admit(host, path, key string) (routetable.Route, customer.Customer, error) {
 	t, err := n.tableInForce()
 	if err != nil {
@@ -45,9 +46,9 @@
 	return rt, c, err
 }
 
-// Identify returns the customer who has the key of a call for a submission, or a
-// *verdict.Error. Where submissions of a host's public routes may be meant, a call
-// without a key is nobody's.
+// Identify returns the customer that the API key of a call for a submission belongs to,
+// or a *verdict.Error. If the host has public routes for submissions, a call without a
+// key belongs to no customer, and the customer is zero.
 func (n *Node) Identify(host, key string) (customer.Customer, error) {
 	t, err := n.tableInForce()
 	if err != nil {
@@ -66,18 +67,19 @@
 	c, ok := t.Customers.FindByKey(key)
 	if !ok {
 		n.observer.count("rejections.no_key")
-		n.observer.line(n.observer.failures, true, "no customer has the caller's key", "given", key != "", "configuration", t.Version)
+		n.observer.logLine(n.observer.failures, true, "no customer has the caller's key", "given", key != "", "configuration", t.Version)
 		return c, verdict.New(verdict.NotRun, http.StatusUnauthorized, errNoKey)
 	}
 	return c, nil
 }
 
-// tableInForce returns the configuration in force.
+// tableInForce returns the configuration in force, or a *verdict.Error if the node is
+// not ready.
 func (n *Node) tableInForce() (*routetable.Table, error) {
 	t := n.table.Load()
 	if t == nil || !n.ready.Load() {
 		n.observer.count("rejections.no_configuration")
-		return nil, verdict.Refuse(http.StatusServiceUnavailable, time.Now().Add(returnAfter), errNoConfiguration)
+		return nil, verdict.Refuse(http.StatusServiceUnavailable, time.Now().Add(unavailableRetryAfter), errNoConfiguration)
 	}
 	return t, nil
 }
@@ -86,13 +88,13 @@
 	rt, ok := t.Match(host, path)
 	if !ok {
 		n.observer.count("rejections.no_route")
-		n.observer.line(n.observer.failures, true, "no route", "host", host, "path", path, "configuration", t.Version)
+		n.observer.logLine(n.observer.failures, true, "no route", "host", host, "path", path, "configuration", t.Version)
 		return routetable.Route{}, verdict.New(verdict.NotRun, http.StatusNotFound, errNoRoute)
 	}
 	return rt, nil
 }
 
-// priority returns the priority of a customer's work, if it has one of its own.
+// priority returns the priority of a customer's requests, if the customer has one.
 func (n *Node) priority(name string) option.Of[int] {
 	t := n.table.Load()
 	if t == nil || name == "" {
@@ -102,11 +104,11 @@
 	return c.Priority
 }
 
-// kept returns nil if o is the submission s, or a *verdict.Error if it is another
-// customer's that has its ID.
-func kept(o submission.HeadRow, s submission.Spec) error {
+// checkCustomer returns nil if o belongs to the customer of s, or a *verdict.Error if
+// another customer's submission has the ID.
+func checkCustomer(o submission.HeadRow, s submission.Spec) error {
 	if !o.BelongsTo(s.Customer) {
-		return verdict.New(verdict.NotRun, http.StatusConflict, errAnothers)
+		return verdict.New(verdict.NotRun, http.StatusConflict, errOtherCustomer)
 	}
 	return nil
 }
--- a/pkg/node/adopt.go
+++ b/pkg/node/adopt.go
@@ -9,18 +9,18 @@
 	"github.com/zinnialadder/zinnialadder/pkg/submission"
 )
 
-// adopt takes over open submissions that no live instance runs. Of the live
-// instances the one that the submission ranks first adopts it, and each next
-// one after successionPeriod more, should those before it not manage to.
-func (s *state) adopt(now time.Time) []effect {
-	if !s.read[membership.Table] || len(s.awaySince) > 0 {
+// takeOver returns effects that take over open submissions which no live instance runs.
+// The live instance that ranks first for a submission takes it over; each next one
+// tries successionInterval later, in case those before it fail.
+func (s *state) takeOver(now time.Time) []effect {
+	if !s.tablesRead[membership.Table] || len(s.unavailableSince) > 0 {
 		return nil
 	}
 	live := s.members.Roster(now, s.name)
 	var effs []effect
 	for id, o := range s.heads {
-		theirs := live.HasStartID(o.Owner) && o.Owner != s.start
-		if !o.Open() || s.running[id] || theirs && o.Claimed {
+		ownedByOther := live.HasStartID(o.Owner) && o.Owner != s.startID
+		if !o.Open() || s.running[id] || ownedByOther && o.Claimed {
 			delete(s.orphans, id)
 			continue
 		}
@@ -29,37 +29,37 @@
 			since = now
 			s.orphans[id] = now
 		}
-		if now.Before(s.retryAt[id]) || now.Sub(since) < s.patience(o, theirs, live) {
+		if now.Before(s.retryAt[id]) || now.Sub(since) < s.orphanWait(o, ownedByOther, live) {
 			continue
 		}
 		s.running[id] = true
-		effs = append(effs, note{"adopting", []any{"submission", id, "owner", o.Owner, "orphan_for", now.Sub(since)}}, adopt{o})
+		effs = append(effs, logInfo{"adopting", []any{"submission", id, "owner", o.Owner, "orphan_for", now.Sub(since)}}, takeOver{o})
 	}
 	return effs
 }
 
-// patience is how long this instance leaves an orphan to others. live says that
-// its owner is among the members, but has not claimed it.
-func (s *state) patience(o submission.HeadRow, live bool, members *membership.Roster) time.Duration {
+// orphanWait returns how long this instance leaves an orphan to others. ownerLive means
+// that its owner is among the members but has not claimed it.
+func (s *state) orphanWait(o submission.HeadRow, ownerLive bool, members *membership.Roster) time.Duration {
 	name := membership.NameOf(o.Owner)
 	if name == s.name {
-		return 0 // this start, or an earlier one of the same instance
+		return 0 // this process, or an earlier one of the same instance
 	}
-	wait := s.rank(o, members)
+	wait := s.rankDelay(o, members)
 	_, known := s.members.StartIDOf(name)
 	switch {
-	case live:
-		return claimPatience + wait
+	case ownerLive:
+		return claimTimeout + wait
 	case o.Owner == "", known:
-		return wait // given up by its owner, which has started again or lapsed
+		return wait // released by its owner, which has restarted or is stale
 	}
-	return orphanPatience + wait
+	return orphanDelay + wait
 }
 
-// rank is how long this instance leaves an orphan to those before it in rank.
-func (s *state) rank(o submission.HeadRow, members *membership.Roster) time.Duration {
+// rankDelay returns how long this instance leaves an orphan to those ranked before it.
+func (s *state) rankDelay(o submission.HeadRow, members *membership.Roster) time.Duration {
 	i := 0
-	for _, m := range s.ranks.owners(members, o.Head) {
+	for _, m := range s.ownerRankings.owners(members, o.Head) {
 		if m.Name == s.name {
 			break
 		}
@@ -67,10 +67,11 @@
 			i++
 		}
 	}
-	return time.Duration(i) * successionPeriod
+	return time.Duration(i) * successionInterval
 }
 
-// ownerKey names the submissions that are run by one instance.
+// ownerKey returns the key for which owners are ranked. Submissions with the same key
+// are run by one instance.
 func ownerKey(h submission.Head) string {
 	if h.Model != "" {
 		return h.Model
@@ -78,14 +79,14 @@
 	return h.Host + h.Path
 }
 
-// owners returns the members that may own a submission, first the one that
-// should. Those of one model go to the same instance, so that its connections
-// to the engines are used again and again, and larger instances own more.
+// owners returns the members that may own a submission, in order of preference.
+// Submissions of one model go to the same instance, so that its connections to the
+// engines are reused. Larger instances own more submissions.
 func owners(members []*membership.Member, h submission.Head) []*membership.Member {
-	return route.RankWeighted(able(members), memberName, memberCores, ownerKey(h))
+	return route.RankWeighted(nonDraining(members), memberName, memberCores, ownerKey(h))
 }
 
-// able returns the members that take on work: those that do not drain.
-func able(members []*membership.Member) []*membership.Member {
+// nonDraining returns the members that accept new work.
+func nonDraining(members []*membership.Member) []*membership.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m *membership.Member) bool { return m.Draining })
 }
--- a/pkg/node/dealer.go
+++ b/pkg/node/dealer.go
@@ -7,58 +7,58 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// dealer has the engines of each pool dealt to the models. An instance that sends nothing
-// to engines does not work out who is dealt what: at a site of thousands of engines some
-// change many times a second.
-type dealer struct {
-	// busy reports whether the deal is needed as soon as it changes.
+// assigner assigns the engines of each pool to the models. An instance that sends
+// nothing to engines does not compute assignments: at a site of thousands of engines
+// some of them change many times a second.
+type assigner struct {
+	// busy reports whether assignments are needed as soon as their inputs change.
 	busy func() bool
-	// deal deals the engines by demands, and reports false if it cannot yet.
-	deal func([]weights.Demand) bool
+	// assign assigns the engines by demands. It reports false if it cannot yet.
+	assign func([]weights.Demand) bool
 
 	mu      sync.Mutex
 	demands []weights.Demand
-	stale   bool // engines are not dealt by demands and by the upstreams there are
+	stale   bool // engines are not yet assigned by demands and the current upstreams
 }
 
-// want has engines dealt by demands, and by the upstreams that there are now: at once
-// if the instance is busy, else when need is called.
-func (d *dealer) want(demands []weights.Demand) {
-	d.mu.Lock()
-	d.demands, d.stale = demands, true
-	d.mu.Unlock()
-	if d.busy() {
-		d.need()
+// setDemands sets the demands. The engines are assigned by them and by the current
+// upstreams: at once if the instance is busy, else on the next call of ensureCurrent.
+func (a *assigner) setDemands(demands []weights.Demand) {
+	a.mu.Lock()
+	a.demands, a.stale = demands, true
+	a.mu.Unlock()
+	if a.busy() {
+		a.ensureCurrent()
 	}
 }
 
-// need deals the engines if they are not dealt as last wanted.
-func (d *dealer) need() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.stale && d.deal(d.demands) {
-		d.stale = false
+// ensureCurrent assigns the engines if their assignment is stale.
+func (a *assigner) ensureCurrent() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.stale && a.assign(a.demands) {
+		a.stale = false
 	}
 }
 
-func newDealer(n *Node) *dealer {
-	return &dealer{busy: func() bool { return n.readers.owning() > 0 }, deal: n.dealEngines}
+func newAssigner(n *Node) *assigner {
+	return &assigner{busy: func() bool { return n.reader.runCount() > 0 }, assign: n.assignEngines}
 }
 
-// dealEngines deals the engines of each pool to its models. It reports false while no
-// configuration is in force.
-func (n *Node) dealEngines(demands []weights.Demand) bool {
+// assignEngines assigns the engines of each pool to its models. It reports false while
+// no configuration is in force.
+func (n *Node) assignEngines(demands []weights.Demand) bool {
 	t := n.table.Load()
 	if t == nil {
 		return false
 	}
-	parts := map[string][]string{}
+	assignments := map[string][]string{}
 	for _, pool := range t.Pools {
 		if len(pool.Models) > 0 {
 			ids, _ := n.registry.NonDraining(pool.Name)
-			maps.Copy(parts, weights.AssignEngines(ids, ofPool(pool, demands)))
+			maps.Copy(assignments, weights.AssignEngines(ids, poolDemands(pool, demands)))
 		}
 	}
-	n.registry.SetAssignments(parts)
+	n.registry.SetAssignments(assignments)
 	return true
 }
--- a/pkg/node/dealer_test.go
+++ b/pkg/node/dealer_test.go
@@ -7,31 +7,32 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// Engines that come and go by the hundred have an instance that sends nothing to them
-// deal them once, when it does; one that runs submissions deals them each time.
-func TestIdleInstanceDealsWhenNeeded(t *testing.T) {
-	busy, possible, deals := false, false, 0
+// When hundreds of engines come and go, an instance that sends nothing to them must
+// assign them only once, when it first needs the assignment. An instance that runs
+// submissions assigns them after each change.
+func TestIdleInstanceAssignsWhenNeeded(t *testing.T) {
+	busy, configured, assignments := false, false, 0
 	var last []weights.Demand
 	d := node.NewAssigner(func() bool { return busy }, func(ds []weights.Demand) bool {
-		if possible {
-			deals, last = deals+1, ds
+		if configured {
+			assignments, last = assignments+1, ds
 		}
-		return possible
+		return configured
 	})
-	want := func(n int) { d.SetDemands([]weights.Demand{{Model: "m", MaxItems: n}}) }
+	setItems := func(n int) { d.SetDemands([]weights.Demand{{Model: "m", MaxItems: n}}) }
 	for i := range 100 {
-		want(i)
+		setItems(i)
 	}
 	d.EnsureCurrent() // no configuration is in force yet
-	possible = true
-	if d.EnsureCurrent(); deals != 1 || last[0].MaxItems != 99 {
-		t.Fatalf("%d deals, the last by %v", deals, last)
+	configured = true
+	if d.EnsureCurrent(); assignments != 1 || last[0].MaxItems != 99 {
+		t.Fatalf("%d assignments, the last by %v, want 1 by 99 items", assignments, last)
 	}
-	if d.EnsureCurrent(); deals != 1 {
-		t.Fatalf("%d deals though nothing has changed", deals)
+	if d.EnsureCurrent(); assignments != 1 {
+		t.Fatalf("%d assignments though nothing has changed, want 1", assignments)
 	}
 	busy = true
-	if want(100); deals != 2 || last[0].MaxItems != 100 {
-		t.Fatalf("%d deals, the last by %v", deals, last)
+	if setItems(100); assignments != 2 || last[0].MaxItems != 100 {
+		t.Fatalf("%d assignments, the last by %v, want 2 by 100 items", assignments, last)
 	}
 }
--- a/pkg/node/demand.go
+++ b/pkg/node/demand.go
@@ -9,18 +9,19 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// workWeight is the weight of a new submission in the mean of a model's work.
-const workWeight = 0.3
+// workSmoothing is the weight of a new submission in the exponential moving average of
+// a model's work.
+const workSmoothing = 0.3
 
-func (s *state) learnWork(h submission.Head) {
+func (s *state) updateWork(h submission.Head) {
 	mean, ok := s.work[h.Model]
 	if !ok {
 		mean = float64(h.EstimatedLength)
 	}
-	s.work[h.Model] = mean + workWeight*(float64(h.EstimatedLength)-mean)
+	s.work[h.Model] = mean + workSmoothing*(float64(h.EstimatedLength)-mean)
 }
 
-// openItems returns how many texts the open submissions hold, by pool.
+// openItems returns the number of items of open submissions, by pool.
 func (s *state) openItems() map[string]int {
 	out := map[string]int{}
 	if s.table == nil {
@@ -34,8 +35,8 @@
 	return out
 }
 
-// demands returns what is asked of each model of which a version is named or a
-// submission was seen, in order of name.
+// demands returns the demand for each model that has a target version or has had a
+// submission, sorted by name.
 func (s *state) demands() []weights.Demand {
 	busy := map[string]bool{}
 	for _, o := range s.heads {
@@ -44,32 +45,33 @@
 		}
 	}
 	models := map[string]bool{}
-	for m := range s.named {
+	for m := range s.targetVersions {
 		models[m] = true
 	}
 	for m := range s.work {
 		models[m] = true
 	}
-	s.deal()
-	items := s.itemsAtOnce()
+	s.updateAssignedWork()
+	items := s.concurrentItems()
 	var out []weights.Demand
 	for _, m := range slices.Sorted(maps.Keys(models)) {
-		out = append(out, weights.Demand{Model: m, TargetVersion: s.named[m], MaxLag: s.lag[m], Work: s.dealt[m], Busy: busy[m], MaxItems: items[m]})
+		out = append(out, weights.Demand{Model: m, TargetVersion: s.targetVersions[m], MaxLag: s.lag[m], Work: s.assignedWork[m], Busy: busy[m], MaxItems: items[m]})
 	}
 	return out
 }
 
-// stepsAtOnce is how many steps of a trainer are open at once where it asks for one
-// before the one before is whole.
-const stepsAtOnce = 2
+// concurrentSteps is the number of steps that a trainer has open at once if it requests
+// a step before the previous one is complete.
+const concurrentSteps = 2
 
-// itemsAtOnce returns how many texts of each model may be under way at once: those of
-// stepsAtOnce of its largest submissions that are known, or of all that are open if
-// that is more. All instances know the same ones, also those that have just started.
-func (s *state) itemsAtOnce() map[string]int {
+// concurrentItems returns the number of items that may be in flight at once, by model:
+// those of concurrentSteps times its largest known submission, or of all its open
+// submissions if that is more. All instances compute the same numbers, including those
+// that have just started.
+func (s *state) concurrentItems() map[string]int {
 	out, open := map[string]int{}, map[string]int{}
 	for _, o := range s.heads {
-		out[o.Model] = max(out[o.Model], stepsAtOnce*o.Total)
+		out[o.Model] = max(out[o.Model], concurrentSteps*o.Total)
 		if o.Open() {
 			open[o.Model] += o.Total
 		}
@@ -80,17 +82,18 @@
 	return out
 }
 
-// dealStep is by how many engines a model's share must be off before engines are
-// dealt anew: the work of submissions varies, and each engine that moves loads
-// weights and takes new connections.
-const dealStep = 1.5
+// minAssignmentChange is the change of a model's share, in engines, from which engines
+// are reassigned. It is not lower because the work of submissions varies, and each
+// engine that moves loads weights and gets new connections.
+const minAssignmentChange = 1.5
 
-// deal takes up the work of recent submissions if it has changed enough.
-func (s *state) deal() {
-	now, before := total(s.work), total(s.dealt)
+// updateAssignedWork sets the work by which engines are assigned to that of recent
+// submissions if it has changed enough.
+func (s *state) updateAssignedWork() {
+	now, before := total(s.work), total(s.assignedWork)
 	for m, w := range s.work {
-		if before == 0 || math.Abs(w/now-s.dealt[m]/before)*float64(len(s.entries)) > dealStep {
-			s.dealt = maps.Clone(s.work)
+		if before == 0 || math.Abs(w/now-s.assignedWork[m]/before)*float64(len(s.entries)) > minAssignmentChange {
+			s.assignedWork = maps.Clone(s.work)
 			return
 		}
 	}
--- a/pkg/node/duties.go
+++ b/pkg/node/duties.go
@@ -10,45 +10,46 @@
 	"github.com/zinnialadder/zinnialadder/pkg/usage"
 )
 
-// CloudProvider takes the calls that one instance at a time makes for the whole site. Each
-// bears the holder's name and a fencing token, that of the lease as it was last
-// renewed, so that a call that is carried out late, after newer ones, is refused
-// where tokens are checked. Its errors are ErrFenced, ErrNoEngines, or others, after
-// which the call may have been carried out or may be later.
+// CloudProvider is the API of the cloud provider, called by one instance at a time for
+// the whole site. Each call carries the holder's name and the fencing token of the
+// lease as last renewed, so that a call that is carried out late, after newer ones, is
+// refused where tokens are checked. The errors are ErrFenced, ErrNoEngines, or others,
+// after which the call may have been carried out, or may be later.
 type CloudProvider interface {
 	ReportUsage(ctx context.Context, h LeaseHolder, r usage.Report) error
 	OrderEngines(ctx context.Context, h LeaseHolder, o scaling.Order) error
 }
 
-// LeaseHolder is the instance that makes a call, and its fencing token.
+// LeaseHolder is the instance that makes a call, with its fencing token.
 type LeaseHolder struct {
 	Name    string
 	Fencing uint64
 }
 
-// Errors of a Cloud's calls that were not carried out and will not be.
+// Errors of calls to a CloudProvider that were not carried out and will not be.
 var (
 	ErrFenced    = errors.New("node: another holder has a higher fencing token")
-	ErrNoEngines = errors.New("node: there are no such engines now")
+	ErrNoEngines = errors.New("node: no such engines are available now")
 )
 
 const (
-	// dutyPeriod is how often the holder looks whether a call is due.
+	// dutyPeriod is the period at which the holder checks whether a call is due.
 	dutyPeriod = 250 * time.Millisecond
-	// dutyCall bounds a call: a cloud that is fifty times slower than usual
-	// answers in 0.5 s.
-	dutyCall = 1500 * time.Millisecond
+	// dutyCallTimeout is the timeout of a call: a provider that is fifty times slower
+	// than usual answers in 0.5 s.
+	dutyCallTimeout = 1500 * time.Millisecond
 )
 
-// duties makes the calls to the cloud while this instance holds the lease of orders.
-// One lease serves all duties: a second one would cost as many calls of the store again.
+// duties makes the calls to the cloud provider while this instance holds the orders
+// lease. One lease serves all duties, because a second one would cost as many calls of
+// the store again.
 type duties struct {
 	node    *Node
 	ledger  usage.Ledger
 	billing usage.Reporter
-	since   time.Time // when the lease was taken under which work is done; zero for none
+	heldAt  time.Time // when the lease was acquired for which restore succeeded; zero for none
 	plans   map[string]*scaling.Planner
-	wake    clock.Wakeup // the lease was taken, or lost
+	wake    clock.Wakeup // signalled when the lease is acquired or lost
 }
 
 func newDuties(n *Node) *duties {
@@ -56,112 +57,117 @@
 		plans: map[string]*scaling.Planner{}, wake: clock.NewWakeup()}
 }
 
-// dutyIdle is how often an instance that holds nothing looks whether it does; it is
-// woken when that changes.
-const dutyIdle = time.Minute
+// dutyIdlePeriod is the period at which an instance that does not hold the lease checks
+// for it. It is also woken when that changes.
+const dutyIdlePeriod = time.Minute
 
-// keep does what is due until ctx ends.
-func (d *duties) keep(ctx context.Context) error {
+// run does what is due until ctx is done.
+func (d *duties) run(ctx context.Context) error {
 	if d.node.cfg.CloudProvider == nil {
 		return nil
 	}
 	for ctx.Err() == nil {
-		wait := dutyIdle
+		wait := dutyIdlePeriod
 		if since := d.node.orders.heldSince(); !since.IsZero() {
 			wait = dutyPeriod
-			d.work(ctx, since)
+			d.makeDueCalls(ctx, since)
 		}
 		d.wake.Wait(ctx, wait)
 	}
 	return nil
 }
 
-// work does what is due of a holder since a time. Another may have held the lease
-// until then: holders must not take turns within the lease time.
-func (d *duties) work(ctx context.Context, since time.Time) {
+// makeDueCalls makes the calls that are due, for a holder that acquired the lease at
+// since. It waits for MinHolderInterval first, because another instance may have held
+// the lease until then, and holders must not alternate within that time.
+func (d *duties) makeDueCalls(ctx context.Context, since time.Time) {
 	now := time.Now()
 	if now.Sub(since) < d.node.cfg.MinHolderInterval || d.node.draining.Load() {
 		return
 	}
-	if !d.since.Equal(since) && !d.begin(ctx, since, now) {
+	if !d.heldAt.Equal(since) && !d.restore(ctx, since, now) {
 		return
 	}
-	d.bill(ctx)
+	d.reportUsage(ctx)
 	d.scale(ctx)
 }
 
-// begin takes up what holders before have left, as the holder since a time.
-func (d *duties) begin(ctx context.Context, since, now time.Time) bool {
+// restore loads what earlier holders stored, for a lease acquired at since, and reports
+// whether it succeeded.
+func (d *duties) restore(ctx context.Context, since, now time.Time) bool {
 	n := d.node
-	lctx, cancel := context.WithTimeout(ctx, storeTime)
+	lctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	left, err := d.ledger.Reports(lctx)
+	stored, err := d.ledger.Reports(lctx)
 	if err != nil {
-		n.cfg.Logger.Warn("reports of use not read", "err", err)
+		n.cfg.Logger.Warn("stored usage reports not read; retrying before any call to the cloud provider", "err", err)
 		return false
 	}
-	d.billing.Restore(left, n.begunAt, now)
+	d.billing.Restore(stored, n.startedAt, now)
 	d.plans = map[string]*scaling.Planner{}
-	d.since = since
-	n.cfg.Logger.Info("duties taken up", "fencing", n.orders.current().Fencing, "reports", len(left))
+	d.heldAt = since
+	n.cfg.Logger.Info("duties of the lease holder started", "fencing", n.orders.current().Fencing, "reports", len(stored))
 	return true
 }
 
-// bill closes the windows whose time has come, and sends what is fixed.
-func (d *duties) bill(ctx context.Context) {
+// reportUsage finalizes the reports of the usage windows that are due, and sends the
+// reports that are.
+func (d *duties) reportUsage(ctx context.Context) {
 	if d.billing.Schedule.Length <= 0 {
 		return
 	}
 	for ctx.Err() == nil {
-		w, due := d.billing.ToClose(d.node.reachedSince(), time.Now())
-		if !due || !d.close(ctx, w) {
+		w, due := d.billing.ToClose(d.node.reachableSince(), time.Now())
+		if !due || !d.closeWindow(ctx, w) {
 			break
 		}
 	}
 	for ctx.Err() == nil {
 		r, due := d.billing.ToSend(time.Now())
-		if !due || !d.send(ctx, r) {
+		if !due || !d.sendReport(ctx, r) {
 			break
 		}
 	}
 }
 
-// close adds up a window's counts and fixes its report.
-func (d *duties) close(ctx context.Context, w usage.Window) bool {
+// closeWindow sums a window's counts and finalizes its report. It reports whether it
+// succeeded.
+func (d *duties) closeWindow(ctx context.Context, w usage.Window) bool {
 	n := d.node
-	cctx, cancel := context.WithTimeout(ctx, storeTime)
+	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	sum, err := d.ledger.Sum(cctx, w)
 	if err == nil {
 		var r usage.Report
-		r, err = d.ledger.Finalize(cctx, usage.Report{Window: w, Counts: sum.Counts, FinalizedAt: time.Now().UTC().Round(0), FinalizedBy: n.start, Tallies: len(sum.Rows)})
+		r, err = d.ledger.Finalize(cctx, usage.Report{Window: w, Counts: sum.Counts, FinalizedAt: time.Now().UTC().Round(0), FinalizedBy: n.startID, Tallies: len(sum.Rows)})
 		if err == nil {
 			d.billing.Finalized(r)
-			n.cfg.Logger.Info("use added up", "window", w, "ended", d.billing.Schedule.End(w), "customers", len(r.Counts), "tallies", r.Tallies, "fixed_by", r.FinalizedBy)
+			n.cfg.Logger.Info("usage report finalized", "window", w, "ended", d.billing.Schedule.End(w), "customers", len(r.Counts), "tallies", r.Tallies, "fixed_by", r.FinalizedBy)
 			old := d.billing.ToDelete()
 			n.group.Go(func() error {
-				d.sweep(ctx, sum, old)
+				d.deleteOld(ctx, sum, old)
 				return nil
 			})
 			return true
 		}
 	}
 	n.observer.count("duties.not_closed")
-	n.cfg.Logger.Warn("use not added up", "window", w, "err", err)
+	n.cfg.Logger.Warn("usage report not finalized; retrying", "window", w, "err", err)
 	return false
 }
 
-// sweep deletes what is not needed any more. What fails stays, and harms nothing.
-func (d *duties) sweep(ctx context.Context, sum usage.Sum, old []usage.Report) {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+// deleteOld deletes tallies and reports that are no longer needed. Rows whose deletion
+// fails remain, which is harmless.
+func (d *duties) deleteOld(ctx context.Context, sum usage.Sum, old []usage.Report) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := errors.Join(d.ledger.DeleteTallies(ctx, sum.Rows), d.ledger.DeleteReports(ctx, old)); err != nil {
-		d.node.cfg.Logger.Debug("counts of use not swept", "err", err)
+		d.node.cfg.Logger.Debug("old usage tallies or reports not deleted; leaving them", "err", err)
 	}
 }
 
-// send sends a report, and reports whether it was accepted.
-func (d *duties) send(ctx context.Context, r usage.Report) bool {
+// sendReport sends a usage report, and returns whether it was accepted.
+func (d *duties) sendReport(ctx context.Context, r usage.Report) bool {
 	n := d.node
 	err := d.call(ctx, func(ctx context.Context, h LeaseHolder) error { return n.cfg.CloudProvider.ReportUsage(ctx, h, r) })
 	now := time.Now()
@@ -169,47 +175,48 @@
 	late := now.After(d.billing.Schedule.Due(r.Window))
 	if err != nil {
 		n.observer.count("duties.usage.not_sent")
-		n.cfg.Logger.Warn("use not reported", "window", r.Window, "late", late, "err", err)
+		n.cfg.Logger.Warn("usage report not sent; retrying unless too old", "window", r.Window, "late", late, "err", err)
 		return false
 	}
 	n.observer.count("duties.usage.sent")
 	if late {
 		n.observer.count("duties.usage.late")
 	}
-	n.cfg.Logger.Info("use reported", "window", r.Window, "customers", len(r.Counts), "late", late)
+	n.cfg.Logger.Info("usage report sent", "window", r.Window, "customers", len(r.Counts), "late", late)
 	n.group.Go(func() error {
-		sctx, cancel := context.WithTimeout(ctx, storeTime)
+		sctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		if err := d.ledger.MarkSent(sctx, r, now.UTC().Round(0)); err != nil {
-			n.cfg.Logger.Debug("report not marked as sent", "window", r.Window, "err", err)
+			n.cfg.Logger.Debug("marking a usage report as sent failed; it may be sent again", "window", r.Window, "err", err)
 		}
 		return nil
 	})
 	return true
 }
 
-// call makes a call to the cloud under the lease as it is held now. If it was lost and
-// taken again since work began, another may have acted meanwhile, and nothing is sent. A
-// refusal for another's fencing token ends the holding.
+// call makes a call to the cloud provider under the lease as it is held now. If the
+// lease was lost and acquired again since restore, another instance may have acted in
+// between, and no call is made. A refusal because of another holder's fencing token
+// makes this instance drop the lease.
 func (d *duties) call(ctx context.Context, f func(context.Context, LeaseHolder) error) error {
 	n := d.node
 	held := n.orders.current()
-	if held.Fencing == 0 || !n.orders.heldSince().Equal(d.since) || !time.Now().Before(orderUntil(held).Add(-orderMargin)) {
-		return errTooLate
+	if held.Fencing == 0 || !n.orders.heldSince().Equal(d.heldAt) || !time.Now().Before(ordersValidUntil(held).Add(-orderMargin)) {
+		return errLeaseEnded
 	}
-	cctx, cancel := context.WithTimeout(ctx, dutyCall)
+	cctx, cancel := context.WithTimeout(ctx, dutyCallTimeout)
 	defer cancel()
-	begun := time.Now()
+	started := time.Now()
 	err := f(cctx, LeaseHolder{Name: n.cfg.Name, Fencing: held.Fencing})
-	n.observer.time("duties.calls", time.Since(begun))
+	n.observer.time("duties.calls", time.Since(started))
 	if errors.Is(err, ErrFenced) {
-		n.cfg.Logger.Warn("duties lost to another holder", "fencing", held.Fencing)
-		n.orders.lose(held.Fencing)
+		n.cfg.Logger.Warn("cloud provider refused the fencing token; dropping the orders lease", "fencing", held.Fencing)
+		n.orders.loseLease(held.Fencing)
 	}
 	return err
 }
 
-// scale orders engines.
+// scale orders engines for the pools that need them.
 func (d *duties) scale(ctx context.Context) {
 	n := d.node
 	t := n.table.Load()
@@ -232,15 +239,16 @@
 				s.Engines[scaling.Placement{DataCentre: e.DataCentre, Spot: e.Spot}]++
 			}
 		}
-		terms := scaling.Limits{Scaling: pool.Scaling, Slots: pool.Slots}
-		for _, o := range plan.Decide(pool.Name, terms, s) {
-			d.order(ctx, plan, o, s.Engines[o.Placement])
+		limits := scaling.Limits{Scaling: pool.Scaling, Slots: pool.Slots}
+		for _, o := range plan.Decide(pool.Name, limits, s) {
+			d.orderEngines(ctx, plan, o, s.Engines[o.Placement])
 		}
 	}
 }
 
-// order gives one order for engines of a place where there are some.
-func (d *duties) order(ctx context.Context, plan *scaling.Planner, o scaling.Order, there int) {
+// orderEngines sends one order for engines of a placement, which has current engines
+// now.
+func (d *duties) orderEngines(ctx context.Context, plan *scaling.Planner, o scaling.Order, current int) {
 	n := d.node
 	err := d.call(ctx, func(ctx context.Context, h LeaseHolder) error { return n.cfg.CloudProvider.OrderEngines(ctx, h, o) })
 	outcome := scaling.Unknown
@@ -250,7 +258,7 @@
 	case errors.Is(err, ErrNoEngines):
 		outcome = scaling.NoCapacity
 	}
-	plan.RecordOutcome(o, outcome, there, time.Now())
+	plan.RecordOutcome(o, outcome, current, time.Now())
 	n.observer.count("duties.engines.ordered")
 	n.cfg.Logger.Info("engines ordered", "pool", o.Pool, "data_centre", o.DataCentre, "spot", o.Spot, "engines", o.Engines, "err", err)
 }
--- a/pkg/node/effects.go
+++ b/pkg/node/effects.go
@@ -14,229 +14,253 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// effect is something that the control state asks for. carryOut must not
-// wait: it is called by the control goroutine.
+// effect is an action requested by the control state. execute is called by the control
+// goroutine and must not block.
 type effect interface {
-	carryOut(ctx context.Context, n *Node)
+	execute(ctx context.Context, n *Node)
 }
 
 type (
-	note struct {
-		what   string
+	// logInfo logs a line at level info.
+	logInfo struct {
+		msg    string
 		fields []any
 	}
-	// upstreamNote is a note of an upstream's entry.
-	upstreamNote struct {
-		what   string
+	// logUpstream logs a change of an upstream's entry, within a budget of lines.
+	logUpstream struct {
+		msg    string
 		fields []any
 	}
-	setTable     struct{ table *routetable.Table }
-	setNamed     struct{ versions map[string]uint64 }
+	// setTable puts a configuration in force.
+	setTable struct{ table *routetable.Table }
+	// setTargetVersions publishes the target weight versions, by model.
+	setTargetVersions struct{ versions map[string]uint64 }
+	// setUpstreams applies changes of entries to the registry of upstreams.
 	setUpstreams struct {
 		changes upstream.Changes
-		total   int // upstreams that there are
+		total   int // number of registered upstreams
 	}
+	// setMembers publishes the live members.
 	setMembers struct {
-		live *membership.Roster
-		rows int // of live and lapsed members
-		// current means that callers may be told of live.
+		live     *membership.Roster
+		rowCount int // number of rows, of live and stale members
+		// current means that callers may be given the addresses of live.
 		current bool
 	}
-	setHead     struct{ submission.HeadRow }
-	becomeReady struct{}
-	reached     struct{ since time.Time } // the store, without a break
-	// setOpenItems tells the texts of open submissions, by pool.
+	// setHead publishes the head of a submission to readers.
+	setHead struct{ submission.HeadRow }
+	// markReady makes the instance accept requests if a configuration is in force.
+	markReady struct{}
+	// setReachable publishes the time since which the store has been reachable without
+	// a break.
+	setReachable struct{ since time.Time }
+	// setOpenItems publishes the number of items of open submissions, by pool.
 	setOpenItems struct{ items map[string]int }
-	leave        struct{} // tell the others that this instance drains
+	// announceDrain announces to other instances that this one drains.
+	announceDrain struct{}
 
+	// startRun starts a run of a submission, from what its previous owners stored. The
+	// end of the run is sent as runEnded.
 	startRun struct {
 		submission.HeadRow
-		spec submission.Spec
-		left submission.PriorWork
+		spec      submission.Spec
+		priorWork submission.PriorWork
 	}
-	stopRun    struct{ id string }
+	// stopRun cancels the run of a submission.
+	stopRun struct{ id string }
+	// releaseRun cancels the run of a submission and hands the submission over. Its end
+	// is sent as runEnded.
 	releaseRun struct{ submission.HeadRow }
-	adopt      struct{ submission.HeadRow }
-	sweep      struct{ submission.HeadRow }
-	dropHead   struct{ id string }
+	// takeOver claims a submission and reads what its previous owners stored. The
+	// outcome is sent as takenOver.
+	takeOver struct{ submission.HeadRow }
+	// sweep deletes a submission. The outcome is sent as swept.
+	sweep struct{ submission.HeadRow }
+	// removeHead removes the head of a deleted submission from those that readers see.
+	removeHead struct{ id string }
 
-	// dealEngines deals the engines of each pool to the models.
-	dealEngines struct{ demands []weights.Demand }
+	// assignEngines assigns the engines of each pool to the models.
+	assignEngines struct{ demands []weights.Demand }
 
+	// planOrders sends the load orders that are due, if this instance holds the orders
+	// lease.
 	planOrders struct {
 		at      time.Time
 		demands []weights.Demand
 	}
 )
 
-func (e note) carryOut(_ context.Context, n *Node) { n.cfg.Logger.Info(e.what, e.fields...) }
+func (e logInfo) execute(_ context.Context, n *Node) { n.cfg.Logger.Info(e.msg, e.fields...) }
 
-func (e upstreamNote) carryOut(_ context.Context, n *Node) {
-	n.observer.line(n.observer.upstreams, false, e.what, e.fields...)
+func (e logUpstream) execute(_ context.Context, n *Node) {
+	n.observer.logLine(n.observer.upstreams, false, e.msg, e.fields...)
 }
 
-func (e setTable) carryOut(_ context.Context, n *Node) {
+func (e setTable) execute(_ context.Context, n *Node) {
 	n.table.Store(e.table)
 	n.cfg.Logger.Info("configuration in force", "version", e.table.Version, "routes", e.table.RouteCount())
 }
 
-func (e setNamed) carryOut(_ context.Context, n *Node) { n.named.Store(&e.versions) }
+func (e setTargetVersions) execute(_ context.Context, n *Node) { n.targetVersions.Store(&e.versions) }
 
-func (e setUpstreams) carryOut(_ context.Context, n *Node) {
+func (e setUpstreams) execute(_ context.Context, n *Node) {
 	n.registry.Apply(e.changes)
 	n.upstreams.Store(int64(e.total))
 }
 
-func (e setMembers) carryOut(_ context.Context, n *Node) {
-	if st := n.standing.Load(); st == nil || st.roster != e.live {
-		n.standing.Store(newStanding(n.cfg.Name, e.live))
+func (e setMembers) execute(_ context.Context, n *Node) {
+	if st := n.ranking.Load(); st == nil || st.roster != e.live {
+		n.ranking.Store(newMemberRanking(n.cfg.Name, e.live))
 	}
 	n.membersCurrent.Store(e.current)
-	n.member.rows.Store(int64(e.rows))
+	n.member.rows.Store(int64(e.rowCount))
 }
 
-func (e setHead) carryOut(_ context.Context, n *Node) { n.heads.set(e.HeadRow) }
+func (e setHead) execute(_ context.Context, n *Node) { n.heads.set(e.HeadRow) }
 
-func (becomeReady) carryOut(_ context.Context, n *Node) {
+func (markReady) execute(_ context.Context, n *Node) {
 	if n.table.Load() != nil && !n.ready.Swap(true) {
 		n.cfg.Logger.Info("ready")
 	}
 }
 
-func (e reached) carryOut(_ context.Context, n *Node) { n.reachedAt.Store(e.since.UnixNano()) }
+func (e setReachable) execute(_ context.Context, n *Node) {
+	n.reachableSinceNanos.Store(e.since.UnixNano())
+}
 
-func (e setOpenItems) carryOut(_ context.Context, n *Node) { n.openItems.Store(&e.items) }
+func (e setOpenItems) execute(_ context.Context, n *Node) { n.openItems.Store(&e.items) }
 
-// carryOut also has those who follow tables through this instance look for another.
-func (leave) carryOut(ctx context.Context, n *Node) {
-	n.member.leave()
+// execute also makes instances that follow tables through this one choose another
+// relay.
+func (announceDrain) execute(ctx context.Context, n *Node) {
+	n.member.drain()
 	n.group.Go(func() error {
 		if err := n.follower.DisableRelaying(ctx); err != nil {
-			n.cfg.Logger.Debug("slot of a relay not given up", "err", err)
+			n.cfg.Logger.Debug("releasing the relay slot failed; draining continues", "err", err)
 		}
 		return nil
 	})
 }
 
-func (e startRun) carryOut(ctx context.Context, n *Node) {
+func (e startRun) execute(ctx context.Context, n *Node) {
 	rctx, cancel := context.WithCancel(ctx)
-	r := submission.NewRunner(n.runnerConfig(), e.HeadRow, e.spec, e.left)
-	run := &ownRun{runner: r, spec: e.spec, cancel: cancel, ended: make(chan struct{})}
-	n.readers.own(e.ID, run)
-	n.dealer.need()
+	r := submission.NewRunner(n.runnerConfig(), e.HeadRow, e.spec, e.priorWork)
+	run := &localRun{runner: r, spec: e.spec, cancel: cancel, ended: make(chan struct{})}
+	n.reader.addRun(e.ID, run)
+	n.assigner.ensureCurrent()
 	n.member.changed()
-	n.cfg.Logger.Info("submission runs", "submission", e.ID, "items", len(e.spec.Items), "listed", len(e.left.Results), "begun", len(e.left.Partials), "fencing", e.Fencing)
+	n.cfg.Logger.Info("submission runs", "submission", e.ID, "items", len(e.spec.Items), "listed", len(e.priorWork.Results), "begun", len(e.priorWork.Partials), "fencing", e.Fencing)
 	n.group.Go(func() error {
 		err := r.Run(rctx)
 		cancel()
 		close(run.ended)
-		n.dropProgress(ctx, r, e.ID, err)
-		n.readers.disown(e.ID, r)
+		n.deleteProgress(ctx, r, e.ID, err)
+		n.reader.finishRun(e.ID, r)
 		n.observer.runEnded(e.Head, r.Summary(), err)
-		n.tell(ctx, runEnded{ID: e.ID, Head: r.Head(), Err: err})
+		n.enqueue(ctx, runEnded{ID: e.ID, Head: r.Head(), Err: err})
 		return nil
 	})
 }
 
-// dropProgress deletes the texts kept by a run that needs no successor: it wrote
-// every result, or its submission has ended.
-func (n *Node) dropProgress(ctx context.Context, r *submission.Runner, id string, err error) {
+// deleteProgress deletes the texts stored by a run that needs no successor, because it
+// wrote every result or its submission has ended.
+func (n *Node) deleteProgress(ctx context.Context, r *submission.Runner, id string, err error) {
 	if h, _ := n.heads.get(id); err != nil && !h.Ended {
 		return
 	}
 	if err := r.DeleteProgress(ctx); err != nil {
-		n.cfg.Logger.Warn("progress not dropped", "submission", id, "err", err)
+		n.cfg.Logger.Warn("partial texts of an ended run not deleted; leaving them", "submission", id, "err", err)
 	}
 }
 
-// carryOut deletes a submission that nobody reads any more.
-func (e sweep) carryOut(ctx context.Context, n *Node) {
+// execute deletes a submission whose retention time has passed.
+func (e sweep) execute(ctx context.Context, n *Node) {
 	n.group.Go(func() error {
-		sctx, cancel := context.WithTimeout(ctx, sweepTime)
+		sctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 		defer cancel()
-		err := n.log.DeleteSubmission(sctx, e.HeadRow)
-		n.cfg.Logger.Info("submission swept", "submission", e.ID, "err", err)
-		n.tell(ctx, swept{ID: e.ID, Err: err, At: time.Now()})
+		err := n.submissions.DeleteSubmission(sctx, e.HeadRow)
+		n.cfg.Logger.Info("submission sweep ended", "submission", e.ID, "err", err)
+		n.enqueue(ctx, swept{ID: e.ID, Err: err, At: time.Now()})
 		return nil
 	})
 }
 
-// sweepTime bounds one sweep; it goes on at the next.
-const sweepTime = 5 * time.Second
+// sweepTimeout is the timeout of one sweep. The next sweep continues where it stopped.
+const sweepTimeout = 5 * time.Second
 
-func (e dropHead) carryOut(_ context.Context, n *Node) { n.heads.drop(e.id) }
+func (e removeHead) execute(_ context.Context, n *Node) { n.heads.remove(e.id) }
 
-func (e stopRun) carryOut(_ context.Context, n *Node) { n.readers.stop(e.id) }
+func (e stopRun) execute(_ context.Context, n *Node) { n.reader.cancelRun(e.id) }
 
-// carryOut stops the run, keeps its texts for a successor and gives the
-// submission up, so that another instance need not wait for this one's row to
-// lapse.
-func (e releaseRun) carryOut(ctx context.Context, n *Node) {
-	run := n.readers.run(e.ID)
+// execute stops the run, stores its texts for a successor and releases the submission,
+// so that another instance need not wait for this instance's row to expire.
+func (e releaseRun) execute(ctx context.Context, n *Node) {
+	run := n.reader.run(e.ID)
 	if run != nil {
 		run.cancel()
 	}
 	n.group.Go(func() error {
-		rctx, cancel := context.WithTimeout(ctx, storeTime)
+		rctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		if run != nil {
 			<-run.ended
-			if err := n.log.PutProgress(rctx, e.HeadRow, run.runner.Partials()); err != nil {
+			if err := n.submissions.PutProgress(rctx, e.HeadRow, run.runner.Partials()); err != nil {
 				n.cfg.Logger.Warn("progress not kept", "submission", e.ID, "err", err)
 			}
 		}
-		_, err := n.log.UpdateHead(rctx, e.HeadRow, func(h submission.Head) (submission.Head, bool) {
-			if h.Owner != n.start || !h.Open() {
+		_, err := n.submissions.UpdateHead(rctx, e.HeadRow, func(h submission.Head) (submission.Head, bool) {
+			if h.Owner != n.startID || !h.Open() {
 				return h, false
 			}
 			h.Owner, h.Claimed, h.ProgressToken = "", false, e.Fencing
 			return h, true
 		})
 		n.cfg.Logger.Info("submission handed over", "submission", e.ID, "err", err)
-		n.tell(ctx, runEnded{ID: e.ID, Err: err})
+		n.enqueue(ctx, runEnded{ID: e.ID, Err: err})
 		return nil
 	})
 }
 
-// storeTime bounds what is tried at the store for one purpose.
-const storeTime = 2 * time.Second
+// storeTimeout is the timeout of the store calls made for one purpose.
+const storeTimeout = 2 * time.Second
 
-// carryOut claims the submission and reads what was handed over and what has
-// been written of its results. The claim comes first: what is read after it is
-// complete, as no earlier owner can write any more.
-func (e adopt) carryOut(ctx context.Context, n *Node) {
+// execute claims the submission, then reads what its previous owners handed over and
+// the results they wrote. What is read after the claim is complete, because no previous
+// owner can write any more.
+func (e takeOver) execute(ctx context.Context, n *Node) {
 	n.group.Go(func() error {
-		actx, cancel := context.WithTimeout(ctx, 2*storeTime)
+		actx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 		defer cancel()
-		out := adopted{ID: e.ID}
-		if out.Owned, out.Err = n.log.Claim(actx, e.HeadRow, n.start); out.Err == nil {
-			out.Spec, out.PriorWork, out.Err = n.readLeft(actx, e.HeadRow)
+		out := takenOver{ID: e.ID}
+		if out.Owned, out.Err = n.submissions.Claim(actx, e.HeadRow, n.startID); out.Err == nil {
+			out.Spec, out.PriorWork, out.Err = n.readPriorWork(actx, e.HeadRow)
 		}
 		if errors.Is(out.Err, context.Canceled) {
 			return nil
 		}
 		out.At = time.Now()
-		n.tell(ctx, out)
+		n.enqueue(ctx, out)
 		return nil
 	})
 }
 
-// readLeft reads what the owners before have left of a submission.
-func (n *Node) readLeft(ctx context.Context, left submission.HeadRow) (submission.Spec, submission.PriorWork, error) {
+// readPriorWork reads the specification of a submission and what its previous owners
+// have stored.
+func (n *Node) readPriorWork(ctx context.Context, head submission.HeadRow) (submission.Spec, submission.PriorWork, error) {
 	var spec submission.Spec
 	var out submission.PriorWork
 	g, gctx := errgroup.WithContext(ctx)
 	g.Go(func() (err error) {
-		spec, err = n.readers.spec(gctx, left)
+		spec, err = n.reader.spec(gctx, head)
 		return err
 	})
 	g.Go(func() (err error) {
-		out, err = n.log.PriorWork(gctx, left)
+		out, err = n.submissions.PriorWork(gctx, head)
 		return err
 	})
 	return spec, out, g.Wait()
 }
 
-func (e dealEngines) carryOut(_ context.Context, n *Node) { n.dealer.want(e.demands) }
+func (e assignEngines) execute(_ context.Context, n *Node) { n.assigner.setDemands(e.demands) }
 
-func (e planOrders) carryOut(ctx context.Context, n *Node) { n.orders.plan(ctx, e) }
+func (e planOrders) execute(ctx context.Context, n *Node) { n.orders.plan(ctx, e) }
--- a/pkg/node/entries.go
+++ b/pkg/node/entries.go
@@ -10,25 +10,25 @@
 	"github.com/zinnialadder/zinnialadder/pkg/upstream"
 )
 
-// registered is an upstream's entry, as read from its row.
-type registered struct {
-	*upstream.Entry        // not changed
-	digest          uint64 // of what the row tells; 0 if it is to be read whole each time
+// entryRecord is an upstream's entry, as decoded from its row.
+type entryRecord struct {
+	*upstream.Entry        // never modified
+	digest          uint64 // digest of the row; 0 if it must always be decoded
 }
 
-// entryChanges are what becomes of entries while one update is taken.
+// entryChanges collects the changes of entries while one update is applied.
 type entryChanges struct {
-	put   []*upstream.Entry
-	gone  []string
-	notes []effect
+	put     []*upstream.Entry
+	removed []string
+	logs    []effect
 }
 
-// onEntries takes what upstreams registered. Entries that lapse while the
-// store is away come back soon after its return if their upstreams live, so
-// those that are missing then are kept for that time.
-func (s *state) onEntries(u feed.Update, away bool) []effect {
-	if away {
-		s.graceTill = u.At.Add(returnTime)
+// onEntries applies changes of the entries table. Entries that expire while the store
+// is unavailable are registered again soon after it returns if their upstreams live, so
+// entries that are missing then are kept for reregistrationTime.
+func (s *state) onEntries(u feed.Update, longOutage bool) []effect {
+	if longOutage {
+		s.graceUntil = u.At.Add(reregistrationTime)
 	}
 	var c entryChanges
 	present := map[string]bool{}
@@ -39,7 +39,7 @@
 			present[id] = true
 		}
 		if ch.Deleted {
-			s.entryGone(&c, id, u.At)
+			s.entryRemoved(&c, id, u.At)
 			continue
 		}
 		s.onEntry(&c, id, ch.Row, u.At)
@@ -47,15 +47,15 @@
 	if u.Reset {
 		for id := range s.entries {
 			if !present[id] {
-				s.entryGone(&c, id, u.At)
+				s.entryRemoved(&c, id, u.At)
 			}
 		}
 	}
 	return s.publish(c)
 }
 
-// onEntry takes an upstream's row. Nearly all rows are heartbeats that tell nothing
-// new, of which a large site has thousands a second.
+// onEntry applies an upstream's row. Nearly all rows are heartbeats that change nothing
+// else. A large site has thousands of them a second.
 func (s *state) onEntry(c *entryChanges, id string, row platform.Row, at time.Time) {
 	old, known := s.entries[id]
 	digest := uint64(0)
@@ -68,65 +68,65 @@
 	}
 	e, err := s.decoder.Entry(row)
 	if err != nil {
-		s.entryGone(c, id, at)
-		c.notes = append(c.notes, upstreamNote{"entry not usable", []any{"upstream", id, "err", err}})
+		s.entryRemoved(c, id, at)
+		c.logs = append(c.logs, logUpstream{"entry not usable", []any{"upstream", id, "err", err}})
 		return
 	}
 	delete(s.missing, id)
 	if !known || !old.SameProcess(e) || old.Draining != e.Draining {
-		c.notes = append(c.notes, upstreamNote{"upstream", []any{"upstream", id, "pool", e.Pool, "address", e.Address, "draining", e.Draining, "born", e.Born}})
+		c.logs = append(c.logs, logUpstream{"upstream", []any{"upstream", id, "pool", e.Pool, "address", e.Address, "draining", e.Draining, "born", e.Born}})
 	}
 	if known && old.Equal(e) {
-		s.entries[id] = registered{Entry: old.Entry, digest: digest}
+		s.entries[id] = entryRecord{Entry: old.Entry, digest: digest}
 		return
 	}
-	s.entries[id] = registered{Entry: &e, digest: digest}
+	s.entries[id] = entryRecord{Entry: &e, digest: digest}
 	c.put = append(c.put, &e)
 }
 
-// entryGone drops an entry, or keeps it as missing.
-func (s *state) entryGone(c *entryChanges, id string, at time.Time) {
+// entryRemoved removes an entry, or keeps it as missing.
+func (s *state) entryRemoved(c *entryChanges, id string, at time.Time) {
 	if _, ok := s.entries[id]; !ok {
 		return
 	}
-	if at.Before(s.graceTill) {
-		s.missing[id] = s.graceTill
+	if at.Before(s.graceUntil) {
+		s.missing[id] = s.graceUntil
 		return
 	}
-	s.dropEntry(c, id)
+	s.removeEntry(c, id)
 }
 
-func (s *state) dropEntry(c *entryChanges, id string) {
+func (s *state) removeEntry(c *entryChanges, id string) {
 	delete(s.entries, id)
 	delete(s.missing, id)
-	c.gone = append(c.gone, id)
+	c.removed = append(c.removed, id)
 }
 
-// dropMissing drops the entries that have not come back in time.
-func (s *state) dropMissing(now time.Time) []effect {
+// removeMissing removes the missing entries that were not registered again in time.
+func (s *state) removeMissing(now time.Time) []effect {
 	var c entryChanges
 	for id, till := range s.missing {
 		if now.Before(till) {
 			continue
 		}
-		s.dropEntry(&c, id)
-		c.notes = append(c.notes, upstreamNote{"upstream gone", []any{"upstream", id}})
+		s.removeEntry(&c, id)
+		c.logs = append(c.logs, logUpstream{"upstream gone", []any{"upstream", id}})
 	}
 	return s.publish(c)
 }
 
-// publish returns the effects of c, none if it tells nothing new. An entry that is
-// put and gone in one update is gone if it is not there any more.
+// publish returns the effects of c. An entry that is both in put and in removed is
+// published as whichever it is now.
 func (s *state) publish(c entryChanges) []effect {
-	if len(c.put) == 0 && len(c.gone) == 0 {
-		return c.notes
+	if len(c.put) == 0 && len(c.removed) == 0 {
+		return c.logs
 	}
-	s.undealt, s.askedAnew = true, true
-	there := func(id string) bool {
+	s.assignmentsStale, s.demandsStale = true, true
+	registered := func(id string) bool {
 		_, ok := s.entries[id]
 		return ok
 	}
-	put := slices.DeleteFunc(c.put, func(e *upstream.Entry) bool { return !there(e.ID) })
-	gone := slices.DeleteFunc(c.gone, there)
-	return append(c.notes, setUpstreams{changes: upstream.Changes{Updated: put, Removed: gone}, total: len(s.entries)})
+	put := slices.DeleteFunc(c.put, func(e *upstream.Entry) bool { return !registered(e.ID) })
+	removed := slices.DeleteFunc(c.removed, registered)
+	return append(c.logs, setUpstreams{changes: upstream.Changes{Updated: put, Removed: removed}, total: len(s.entries)})
 }
--- a/pkg/node/export_test.go
+++ b/pkg/node/export_test.go
@@ -15,35 +15,37 @@
 type State struct{ s *state }
 
 // NewState returns the control state of the instance named name.
-func NewState(name, start string, d Decoder) State { return State{newState(name, start, d, keepFor)} }
+func NewState(name, startID string, d Decoder) State {
+	return State{newState(name, startID, d, retention)}
+}
 
-const keepFor = 2 * time.Minute
+const retention = 2 * time.Minute
 
-// Update, Tick and Adopted give events to the state and return the effects, each
-// as text such as "adopt l1".
-func (s State) Update(u feed.Update) []string { return texts(s.s.reduce(u)) }
+// Update applies a feed.Update and returns the effects, each as text such as "take over
+// l1". So do Tick, TakenOver, RunEnded and Drain for their events.
+func (s State) Update(u feed.Update) []string { return effectTexts(s.s.reduce(u)) }
 
-func (s State) Tick(at time.Time) []string { return texts(s.s.reduce(tick{At: at})) }
+func (s State) Tick(at time.Time) []string { return effectTexts(s.s.reduce(tick{At: at})) }
 
 func (s State) TakenOver(o submission.HeadRow, at time.Time) []string {
-	return texts(s.s.reduce(adopted{ID: o.ID, Owned: o, At: at}))
+	return effectTexts(s.s.reduce(takenOver{ID: o.ID, Owned: o, At: at}))
 }
 
 func (s State) RunEnded(o submission.HeadRow) []string {
-	return texts(s.s.reduce(runEnded{ID: o.ID, Head: o}))
+	return effectTexts(s.s.reduce(runEnded{ID: o.ID, Head: o}))
 }
 
-func (s State) Drain() []string { return texts(s.s.reduce(drain{})) }
+func (s State) Drain() []string { return effectTexts(s.s.reduce(drain{})) }
 
-// Upstreams returns the IDs of the entries in the last setUpstreams of effs.
+// Upstreams returns the number of registered upstreams.
 func (s State) Upstreams() int { return len(s.s.entries) }
 
-func texts(effs []effect) []string {
+func effectTexts(effs []effect) []string {
 	var out []string
 	for _, e := range effs {
 		switch e := e.(type) {
-		case adopt:
-			out = append(out, "adopt "+e.ID)
+		case takeOver:
+			out = append(out, "take over "+e.ID)
 		case startRun:
 			out = append(out, "start "+e.ID)
 		case stopRun:
@@ -60,25 +62,27 @@
 			}
 		case setTable:
 			out = append(out, fmt.Sprintf("configuration %d", e.table.Version))
-		case leave:
+		case announceDrain:
 			out = append(out, "leave")
 		}
 	}
 	return out
 }
 
-// AdvertisedAddresses, Standbys and PeersToAsk decide what instances tell callers, which
-// of them are ready to be told, and whom one asks for the store.
+// AdvertisedAddresses, Standbys and PeersToAsk export the selection of the addresses
+// given to callers, of the instances that stand by to be advertised, and of the peers
+// tried for access to the store.
 var (
 	AdvertisedAddresses = func(live []*membership.Member, except func(*membership.Member) bool) []string {
-		return toldAddresses(rankedForCallers(live), except)
+		return advertisedAddresses(rankedForCallers(live), except)
 	}
 	Standbys = func(live []*membership.Member) []*membership.Member {
-		return rankedForCallers(live)[:standbyCount(len(able(live)))]
+		return rankedForCallers(live)[:standbyCount(len(nonDraining(live)))]
 	}
-	PeersToAsk = peersToAsk
+	PeersToAsk = orderPeers
 
-	// MembersReadInterval is the least time between two reads of the members' rows.
+	// MembersReadInterval returns the least time between two reads of the members'
+	// rows.
 	MembersReadInterval = func(members int) time.Duration { return feedPause(membersPause, members) }
 )
 
@@ -95,20 +99,20 @@
 func (l OrderLedger) End(id string, until time.Time)         { l.l.end(id, until) }
 func (l OrderLedger) Entries(now time.Time) []string         { return l.l.entries(now) }
 
-// ConcurrentItems returns how many texts of a model may be under way at once.
-func (s State) ConcurrentItems(model string) int { return s.s.itemsAtOnce()[model] }
+// ConcurrentItems returns how many items of a model may be in flight at once.
+func (s State) ConcurrentItems(model string) int { return s.s.concurrentItems()[model] }
 
-// Assigner decides when engines are dealt, for tests.
-type Assigner struct{ d *dealer }
+// Assigner decides when engines are assigned, for tests.
+type Assigner struct{ d *assigner }
 
-func NewAssigner(busy func() bool, deal func([]weights.Demand) bool) Assigner {
-	return Assigner{&dealer{busy: busy, deal: deal}}
+func NewAssigner(busy func() bool, assign func([]weights.Demand) bool) Assigner {
+	return Assigner{&assigner{busy: busy, assign: assign}}
 }
 
-func (d Assigner) SetDemands(demands []weights.Demand) { d.d.want(demands) }
-func (d Assigner) EnsureCurrent()                      { d.d.need() }
+func (d Assigner) SetDemands(demands []weights.Demand) { d.d.setDemands(demands) }
+func (d Assigner) EnsureCurrent()                      { d.d.ensureCurrent() }
 
-// IsStandby reports whether an instance finds that it is one of the Standbys.
+// IsStandby reports whether an instance determines that it is one of the Standbys.
 func IsStandby(name string, live []*membership.Member) bool {
 	return isStandby(name, membership.NewRoster(live))
 }
--- a/pkg/node/heads.go
+++ b/pkg/node/heads.go
@@ -5,7 +5,7 @@
 	"github.com/zinnialadder/zinnialadder/pkg/submission"
 )
 
-// onHeads takes what became of submissions.
+// onHeads applies changes of the heads of submissions.
 func (s *state) onHeads(u feed.Update) []effect {
 	var effs []effect
 	for _, ch := range u.Changes {
@@ -15,7 +15,7 @@
 		}
 		h, err := submission.DecodeHead(ch.Row)
 		if err != nil {
-			effs = append(effs, note{"submission not understood", []any{"row", ch.Key, "err", err}})
+			effs = append(effs, logInfo{"malformed head of a submission; ignoring the row", []any{"row", ch.Key, "err", err}})
 			continue
 		}
 		effs = append(effs, s.setHead(submission.HeadRow{Head: h, Fencing: ch.Version})...)
@@ -28,35 +28,35 @@
 	if known && old.Fencing >= o.Fencing {
 		return nil
 	}
-	s.heads[o.ID], s.askedAnew = o, true
+	s.heads[o.ID], s.demandsStale = o, true
 	effs := []effect{setHead{o}}
-	if named := s.named[o.Model]; !known && o.Model != "" && named >= o.MinVersion {
+	if named := s.targetVersions[o.Model]; !known && o.Model != "" && named >= o.MinVersion {
 		s.lag[o.Model] = min(named-o.MinVersion, 1)
 	}
 	if !known && o.Model != "" {
-		s.learnWork(o.Head)
+		s.updateWork(o.Head)
 	}
 	switch {
-	case s.running[o.ID] && (o.Ended || o.Owner != s.start):
+	case s.running[o.ID] && (o.Ended || o.Owner != s.startID):
 		effs = append(effs, stopRun{o.ID})
-	case !s.running[o.ID] && o.Owner == s.start && !o.Claimed && o.Open() && !s.draining:
+	case !s.running[o.ID] && o.Owner == s.startID && !o.Claimed && o.Open() && !s.draining:
 		s.running[o.ID] = true
-		effs = append(effs, adopt{o})
+		effs = append(effs, takeOver{o})
 	}
 	return effs
 }
 
 func (s *state) onAccepted(e accepted) []effect {
 	effs := s.setHead(e.HeadRow)
-	if s.draining || s.running[e.ID] || e.Owner != s.start || !e.Claimed || !e.Open() {
+	if s.draining || s.running[e.ID] || e.Owner != s.startID || !e.Claimed || !e.Open() {
 		return effs
 	}
 	s.running[e.ID] = true
 	return append(effs, startRun{e.HeadRow, e.Spec, submission.PriorWork{}})
 }
 
-// onRunEnded takes what a run has left. That its submission is complete comes
-// with it: the feed tells it later, and until then it would be run again.
+// onRunEnded applies the head that a run wrote last. The followed table shows it only
+// later, and until then a complete submission would be run again.
 func (s *state) onRunEnded(e runEnded) []effect {
 	delete(s.running, e.ID)
 	if e.Head.Fencing == 0 {
@@ -65,15 +65,15 @@
 	return s.setHead(e.Head)
 }
 
-func (s *state) onAdopted(e adopted) []effect {
+func (s *state) onTakenOver(e takenOver) []effect {
 	if e.Err != nil {
 		delete(s.running, e.ID)
-		s.retryAt[e.ID] = e.At.Add(adoptPause)
-		return []effect{note{"adoption failed", []any{"submission", e.ID, "err", e.Err}}}
+		s.retryAt[e.ID] = e.At.Add(takeoverRetryDelay)
+		return []effect{logInfo{"takeover of a submission failed; retrying", []any{"submission", e.ID, "err", e.Err}}}
 	}
 	effs := s.setHead(e.Owned)
 	if cur := s.heads[e.ID]; cur.Fencing != e.Owned.Fencing || !cur.Open() {
-		delete(s.running, e.ID) // it has ended, or passed on, since it was claimed
+		delete(s.running, e.ID) // it has ended, or got another owner, since it was claimed
 		return effs
 	}
 	if s.draining {
--- a/pkg/node/member.go
+++ b/pkg/node/member.go
@@ -13,36 +13,36 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// memberRow keeps this instance's row among the members.
+// memberRow maintains this instance's row in the members table.
 type memberRow struct {
-	node *Node
-	rows atomic.Int64 // of all members, as last read
-	wake clock.Wakeup
-	left atomic.Bool
+	node     *Node
+	rows     atomic.Int64 // number of members, as last read
+	wake     clock.Wakeup
+	draining atomic.Bool
 }
 
-// changed has the row written at once, as what it tells has changed: that the
-// instance owns work, or drains.
+// changed triggers a write of the row, because its contents have changed: the instance
+// has become an owner, or drains.
 func (m *memberRow) changed() { m.wake.Signal() }
 
 func (m *memberRow) period() time.Duration {
-	return membership.RenewalPeriod(int(m.rows.Load()), m.node.duty())
+	return membership.RenewalPeriod(int(m.rows.Load()), m.node.role())
 }
 
-// leave has the row say at once that the instance drains.
-func (m *memberRow) leave() {
-	m.left.Store(true)
+// drain marks the instance as draining in the row, at once.
+func (m *memberRow) drain() {
+	m.draining.Store(true)
 	m.changed()
 }
 
-// keep writes the row until ctx ends. It waits until it is known how many members
-// there are: were half of hundreds to come back together and each renew its row as the
-// members of a small site do, their partition of the store would turn away renewals of
-// those that own work.
-func (m *memberRow) keep(ctx context.Context) error {
+// run writes the row until ctx is done. It starts when the number of members is known:
+// if half of hundreds of instances came back together and each renewed its row at the
+// rate of a small site, their partition of the store would reject renewals of instances
+// that own submissions.
+func (m *memberRow) run(ctx context.Context) error {
 	var held lease.Lease
 	for ctx.Err() == nil {
-		if !m.node.ready.Load() || m.node.standing.Load() == nil {
+		if !m.node.ready.Load() || m.node.ranking.Load() == nil {
 			m.wake.Wait(ctx, tickPeriod)
 			continue
 		}
@@ -56,29 +56,29 @@
 	return nil
 }
 
-// write writes the row once and returns it as it stands, or a zero Lease if
-// that is not known.
+// write writes the row once and returns the lease in it, or the zero Lease if that is
+// not known.
 func (m *memberRow) write(ctx context.Context, held lease.Lease) lease.Lease {
 	n := m.node
-	data, err := json.Marshal(membership.Member{Address: n.cfg.Address, PeerAddress: n.cfg.PeerAddress, DataCentre: n.cfg.DataCentre, Cores: n.cfg.Cores, Draining: m.left.Load(),
+	data, err := json.Marshal(membership.Member{Address: n.cfg.Address, PeerAddress: n.cfg.PeerAddress, DataCentre: n.cfg.DataCentre, Cores: n.cfg.Cores, Draining: m.draining.Load(),
 		Configuration: n.configurationVersion(), WatchSource: n.follower.Source().String()})
 	if err != nil {
-		n.cfg.Logger.Error("member row", "err", err)
+		n.cfg.Logger.Error("encoding the member row failed; row not written", "err", err)
 		return lease.Lease{}
 	}
 	now := time.Now()
-	l := lease.Lease{Name: membership.Key(n.cfg.Name), Holder: n.start, RenewedAt: now, ExpiresAt: now.Add(membership.TTL(m.period())), Data: data, Fencing: held.Fencing}
+	l := lease.Lease{Name: membership.Key(n.cfg.Name), Holder: n.startID, RenewedAt: now, ExpiresAt: now.Add(membership.TTL(m.period())), Data: data, Fencing: held.Fencing}
 	if l.Fencing == 0 {
 		row, err := n.cfg.Store.Get(ctx, l.Name)
 		if err != nil && !errors.Is(err, platform.ErrNotFound) {
-			n.cfg.Logger.Debug("member row not read", "err", err)
+			n.cfg.Logger.Debug("reading the member row failed; retrying", "err", err)
 			return lease.Lease{}
 		}
 		l.Fencing = row.Version
 	}
 	l, err = lease.Write(ctx, n.cfg.Store, l, l.Fencing)
 	if err != nil {
-		n.cfg.Logger.Debug("member row not written", "err", err)
+		n.cfg.Logger.Debug("writing the member row failed; retrying", "err", err)
 		return lease.Lease{}
 	}
 	return l
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -1,10 +1,9 @@
-// Package node is an instance that runs on the users' platform: it keeps what
-// it knows up to date from the platform's store, forwards callers' requests,
-// runs the submissions that it owns and, while it holds the lease for that,
-// orders engines to load weights.
+// Package node implements an instance of the system on the users' platform. It follows
+// the tables of the platform's store, forwards callers' requests, runs the submissions
+// that it owns and, while it holds the orders lease, orders engines to load weights.
 //
-// One goroutine owns the control state: it reduces events to effects, which
-// others carry out. Requests read snapshots that the effects publish.
+// One goroutine owns the control state: it reduces events to effects, which are then
+// executed. Requests read snapshots that the effects publish.
 package node
 
 import (
@@ -30,7 +29,7 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// UpstreamClient speaks to upstreams.
+// UpstreamClient sends requests to upstreams.
 type UpstreamClient interface {
 	forward.Transport
 	forward.Opener
@@ -40,36 +39,41 @@
 	NotListening(ctx context.Context, e upstream.Entry) bool
 }
 
-// Decoder reads the rows that the platform's operators, trainers and
-// upstreams write.
+// Decoder decodes the rows that the platform's operators, trainers and upstreams write.
 type Decoder struct {
-	OperatorTable string // the configuration and the versions named
-	EntriesTable  string // the upstreams' entries
+	OperatorTable string // the configuration and the target versions
+	EntriesTable  string // the entries of upstreams
 
+	// Configuration decodes a row of the operator table. ok is false if the row is not
+	// a configuration, and err is set if it is a malformed one.
 	Configuration func(platform.Row) (t *routetable.Table, ok bool, err error)
+	// TargetVersion decodes a row of the operator table. ok is false if the row is not
+	// the target version of a model.
 	TargetVersion func(platform.Row) (model string, version uint64, ok bool)
 	Entry         func(platform.Row) (upstream.Entry, error)
-	// RedactKeys returns a row of the operator's without callers' keys.
+	// RedactKeys returns a row of the operator table without callers' API keys.
 	RedactKeys func(platform.Row) platform.Row
-	// EntryDigest returns the same number for rows of one upstream that tell the same
-	// Entry, without reading them whole: nearly all writes are heartbeats that change
-	// nothing else. It returns 0 for a row that is to be read. Nil for always 0.
+	// EntryDigest returns equal digests for rows of one upstream that decode to equal
+	// entries, without decoding them: nearly all writes are heartbeats that change
+	// nothing else. It returns 0 for a row that must be decoded. A nil EntryDigest is
+	// the same as one that always returns 0.
 	EntryDigest func(platform.Row) uint64
 }
 
-// StoreReachability tells whether a way leads to the store.
+// StoreReachability tells whether the store is reachable.
 type StoreReachability interface {
 	Unreachable() bool
-	// WhileReachable returns a context that ends when no way leads to the store.
+	// WhileReachable returns a context that is cancelled when the store becomes
+	// unreachable.
 	WhileReachable(ctx context.Context) (context.Context, context.CancelFunc)
 }
 
-// alwaysReached is the Reach of a store that is never lost.
-type alwaysReached struct{}
+// alwaysReachable is the StoreReachability of a store that never becomes unreachable.
+type alwaysReachable struct{}
 
-func (alwaysReached) Unreachable() bool { return false }
+func (alwaysReachable) Unreachable() bool { return false }
 
-func (alwaysReached) WhileReachable(ctx context.Context) (context.Context, context.CancelFunc) {
+func (alwaysReachable) WhileReachable(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithCancel(ctx)
 }
 
@@ -77,135 +81,137 @@
 type Config struct {
 	Name       string
 	DataCentre string
-	Address    string  // where callers connect
-	Cores      float64 // processor cores that the instance has
-	// PeerAddress is where other instances connect; empty for nowhere.
+	Address    string  // address for callers
+	Cores      float64 // processor cores of the instance
+	// PeerAddress is the address for other instances. It is empty if there is none.
 	PeerAddress string
 	Store       platform.Store
-	// Dial opens a link to another instance to follow tables through it; nil if each
-	// instance reads them from the store.
+	// Dial opens a link to another instance to follow tables through it. If nil, each
+	// instance reads the tables from the store.
 	Dial                watch.Dial
-	StoreReachability   StoreReachability // nil for a store that is never lost
+	StoreReachability   StoreReachability // nil for a store that is always reachable
 	Upstreams           UpstreamClient
 	Decoder             Decoder
 	Logger              *log.Logger
-	Metrics             metrics.Registry // counters and timers; nil for ones that nobody reads
-	MaxRowBytes         int              // largest value of a row of the store, in bytes
-	MinHolderInterval   time.Duration    // holders of orders must not alternate within it
-	SubmissionRetention time.Duration    // submissions are kept so long after their acceptance; 0 for ever
-	ShutdownGrace       time.Duration    // from the request to stop until the process is killed
-	// CloudProvider takes the site's reports of use and orders of engines; nil for none.
+	Metrics             metrics.Registry // counters and timers; nil for a registry of its own
+	MaxRowBytes         int              // largest value of a row of the store
+	MinHolderInterval   time.Duration    // least time between orders of two different lease holders
+	SubmissionRetention time.Duration    // time from acceptance until a submission is deleted; 0 for no deletion
+	ShutdownGrace       time.Duration    // time from the request to stop until the process is killed
+	// CloudProvider accepts the site's usage reports and orders of engines. It is nil
+	// for none.
 	CloudProvider CloudProvider
-	// Calendar is that of the reports of use; zero if none are wanted.
+	// Calendar is the schedule of usage reports. Its zero value disables them.
 	Calendar usage.Schedule
 }
 
 const (
-	// gaugePeriod is how often the gauges of the control state are set.
+	// gaugePeriod is the period at which the gauges of the control state are updated.
 	gaugePeriod = time.Second
-	// tickPeriod is how often the control state looks at the time.
+	// tickPeriod is the period of tick events.
 	tickPeriod = 100 * time.Millisecond
-	// eventQueue is how many events may wait for the control goroutine.
-	eventQueue = 256
+	// eventQueueSize is how many events may be queued for the control goroutine.
+	eventQueueSize = 256
 )
 
 // Node is one instance. Call New, then Run.
 type Node struct {
-	cfg       Config
-	start     string // identifies this start of the instance
-	log       submission.Repository
-	registry  *upstream.Registry
-	forwarder *forward.Forwarder
-	events    chan any
-	group     errgroup.Group
+	cfg         Config
+	startID     string // identifies this process of the instance
+	submissions submission.Repository
+	registry    *upstream.Registry
+	forwarder   *forward.Forwarder
+	events      chan any
+	group       errgroup.Group
 
-	table    atomic.Pointer[routetable.Table]
-	ready    atomic.Bool // what callers need is known
-	draining atomic.Bool
-	heads    headIndex
-	readers  *readers
-	observer *observer
-	member   *memberRow
-	orders   *orderSender
-	dealer   *dealer
-	follower *watch.Follower
-	told     toldMembers
-	duties   *duties
-	usage    *teller
-	begunAt  time.Time
-	// reachedAt is since when the store has been reached without a break, as a Unix
-	// nanosecond; 0 from the start on.
-	reachedAt atomic.Int64
-	// openItems are the texts of open submissions, by pool.
+	table          atomic.Pointer[routetable.Table]
+	ready          atomic.Bool // the tables that callers' requests depend on have been read
+	draining       atomic.Bool
+	heads          headIndex
+	reader         *submissionReader
+	observer       *observer
+	member         *memberRow
+	orders         *orderSender
+	assigner       *assigner
+	follower       *watch.Follower
+	encodedMembers memberEncodings
+	duties         *duties
+	usage          *usageRecorder
+	startedAt      time.Time
+	// reachableSinceNanos is the time since which the store has been reachable without
+	// a break, in Unix nanoseconds. It is 0 until the first outage has ended.
+	reachableSinceNanos atomic.Int64
+	// openItems is the number of items of open submissions, by pool.
 	openItems atomic.Pointer[map[string]int]
-	// upstreams is how many upstreams there are.
+	// upstreams is the number of registered upstreams.
 	upstreams atomic.Int64
-	// quarantine is what is known of requests that crash upstreams.
-	quarantine *quarantine.Syncer
-	named      atomic.Pointer[map[string]uint64]
-	standing   atomic.Pointer[standing] // among the members; nil while none are known
-	// membersCurrent means that what standing tells is recent enough for callers.
+	// quarantine tracks requests that crash upstreams.
+	quarantine     *quarantine.Syncer
+	targetVersions atomic.Pointer[map[string]uint64]
+	ranking        atomic.Pointer[memberRanking] // rankings of the live members; nil until the members are known
+	// membersCurrent means that ranking is recent enough to give addresses from it to
+	// callers.
 	membersCurrent atomic.Bool
 }
 
-// New returns a Node.
+// New returns a Node configured by cfg.
 func New(cfg Config) *Node {
-	n := &Node{cfg: cfg, start: membership.StartID(cfg.Name, time.Now()), begunAt: time.Now(), registry: upstream.NewRegistry(cfg.DataCentre),
-		log: submission.Repository{Store: cfg.Store, MaxRow: cfg.MaxRowBytes}, events: make(chan any, eventQueue)}
+	n := &Node{cfg: cfg, startID: membership.StartID(cfg.Name, time.Now()), startedAt: time.Now(), registry: upstream.NewRegistry(cfg.DataCentre),
+		submissions: submission.Repository{Store: cfg.Store, MaxRow: cfg.MaxRowBytes}, events: make(chan any, eventQueueSize)}
 	if n.cfg.Metrics == nil {
 		n.cfg.Metrics = metrics.NewRegistry()
 	}
 	if n.cfg.StoreReachability == nil {
-		n.cfg.StoreReachability = alwaysReached{}
+		n.cfg.StoreReachability = alwaysReachable{}
 	}
 	n.observer = newObserver(n)
 	n.quarantine = newQuarantine(n)
 	n.forwarder = forward.New(forward.Config{Transport: cfg.Upstreams, Opener: cfg.Upstreams, Registry: n.registry, Affinity: cfg.Name, Guard: n.quarantine.Guard, OnAttempt: n.observer.attempt})
 	n.heads.init()
-	n.readers = newReaders(n)
+	n.reader = newSubmissionReader(n)
 	n.member = &memberRow{node: n, wake: clock.NewWakeup()}
 	n.orders = newOrderSender(n)
-	n.dealer = newDealer(n)
+	n.assigner = newAssigner(n)
 	n.duties = newDuties(n)
-	n.usage = newTeller(n)
+	n.usage = newUsageRecorder(n)
 	n.follower = newFollower(n)
-	n.told = toldMembers{}
+	n.encodedMembers = memberEncodings{}
 	return n
 }
 
-// Run runs the node until stop ends, then drains it: what it owns is handed
-// over, and Run returns after drainTime.
+// Run runs the node until stop is done, then drains it: submissions that it owns are
+// handed over, and Run returns after drainDuration.
 func (n *Node) Run(stop context.Context) error { return n.RunUntil(context.Background(), stop) }
 
-// RunUntil is Run for a node that ends without draining when life ends.
+// RunUntil is like Run, but ends without draining when life is done.
 func (n *Node) RunUntil(life, stop context.Context) error {
 	ctx, cancel := context.WithCancel(life)
 	defer cancel()
-	n.cfg.Logger.Info("start", "start", n.start, "address", n.cfg.Address)
+	n.cfg.Logger.Info("start", "start", n.startID, "address", n.cfg.Address)
 	n.group.Go(func() error { return n.follower.Run(ctx) })
-	n.group.Go(func() error { return n.member.keep(ctx) })
-	n.group.Go(func() error { return n.orders.keep(ctx) })
-	n.group.Go(func() error { return n.duties.keep(ctx) })
-	n.group.Go(func() error { return n.usage.keep(ctx) })
+	n.group.Go(func() error { return n.member.run(ctx) })
+	n.group.Go(func() error { return n.orders.run(ctx) })
+	n.group.Go(func() error { return n.duties.run(ctx) })
+	n.group.Go(func() error { return n.usage.run(ctx) })
 	n.group.Go(func() error { return n.quarantine.Run(ctx) })
-	err := n.control(ctx, stop)
+	err := n.controlLoop(ctx, stop)
 	cancel()
-	_ = n.group.Wait() // its functions end with ctx
-	n.cfg.Logger.Info("stop", "start", n.start)
+	_ = n.group.Wait() // all functions of the group return when ctx is done, with nil
+	n.cfg.Logger.Info("stop", "start", n.startID)
 	return err
 }
 
-// tell hands ev to the control goroutine.
-func (n *Node) tell(ctx context.Context, ev any) {
+// enqueue sends ev to the control goroutine.
+func (n *Node) enqueue(ctx context.Context, ev any) {
 	select {
 	case n.events <- ev:
 	case <-ctx.Done():
 	}
 }
 
-// control owns the control state.
-func (n *Node) control(ctx, stop context.Context) error {
-	s := newState(n.cfg.Name, n.start, n.cfg.Decoder, n.cfg.SubmissionRetention)
+// controlLoop owns the control state: it reduces events and executes the effects.
+func (n *Node) controlLoop(ctx, stop context.Context) error {
+	s := newState(n.cfg.Name, n.startID, n.cfg.Decoder, n.cfg.SubmissionRetention)
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
 	stopped := stop.Done()
@@ -225,7 +231,7 @@
 			stopped = nil
 			n.draining.Store(true)
 			n.cfg.Logger.Info("draining", "owned", len(s.running))
-			deadline = time.After(drainTime(n.cfg.ShutdownGrace))
+			deadline = time.After(drainDuration(n.cfg.ShutdownGrace))
 			ev = drain{}
 		case <-deadline:
 			return nil
@@ -233,26 +239,28 @@
 			return ctx.Err()
 		}
 		for _, eff := range s.reduce(ev) {
-			eff.carryOut(ctx, n)
+			eff.execute(ctx, n)
 		}
 	}
 }
 
-// drainTime is when a node that is told to stop ends: callers go on using its
-// address for seconds, and requests under way need the rest of the grace.
-func drainTime(grace time.Duration) time.Duration { return grace * 6 / 8 }
+// drainDuration returns how long a node drains. Callers go on using its address for
+// seconds, and requests in flight need the rest of the grace period.
+func drainDuration(grace time.Duration) time.Duration { return grace * 6 / 8 }
 
-func draw() float64 { return rand.Float64() }
+func randomFloat() float64 { return rand.Float64() }
 
-// reachedSince returns since when the store has been reached without a break.
-func (n *Node) reachedSince() time.Time {
-	if at := n.reachedAt.Load(); at != 0 {
+// reachableSince returns the time since which the store has been reachable without a
+// break.
+func (n *Node) reachableSince() time.Time {
+	if at := n.reachableSinceNanos.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
-	return n.begunAt
+	return n.startedAt
 }
 
-// configurationVersion returns the version in force, 0 for none.
+// configurationVersion returns the version of the configuration in force, 0 if there is
+// none.
 func (n *Node) configurationVersion() uint64 {
 	if t := n.table.Load(); t != nil {
 		return t.Version
--- a/pkg/node/observe.go
+++ b/pkg/node/observe.go
@@ -16,9 +16,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/watch"
 )
 
-// Lines a second of each kind. An instance's usual load is a few requests a
-// second and, where it owns a submission, some tens of items; a line costs
-// about 20 µs. Upstreams come and go by the thousand where a large site starts.
+// Limits of log lines per second, by kind. The usual load of an instance is a few
+// requests a second and, where it owns a submission, some tens of items a second. A
+// line costs about 20 µs. Thousands of upstreams come and go when a large site starts.
 const (
 	failureLines  = 40
 	requestLines  = 15
@@ -26,7 +26,7 @@
 	upstreamLines = 10
 )
 
-// observer counts and logs what happens to requests and items.
+// observer records metrics and log lines of requests and items.
 type observer struct {
 	node      *Node
 	failures  *logs.Budget
@@ -49,8 +49,9 @@
 	metrics.GetOrRegisterGauge(name, o.node.cfg.Metrics).Update(v)
 }
 
-// line writes a line if budget has one left: a warning if err tells a failure.
-func (o *observer) line(budget *logs.Budget, failed bool, what string, fields ...any) {
+// logLine logs a line if budget allows it, as a warning if failed is set. Lines that
+// exceed the budget are counted.
+func (o *observer) logLine(budget *logs.Budget, failed bool, msg string, fields ...any) {
 	skipped, ok := budget.Take(time.Now())
 	if !ok {
 		o.count("log.lines.skipped")
@@ -60,44 +61,44 @@
 		fields = append(fields, "skipped", skipped)
 	}
 	if failed {
-		o.node.cfg.Logger.Warn(what, fields...)
+		o.node.cfg.Logger.Warn(msg, fields...)
 		return
 	}
-	o.node.cfg.Logger.Info(what, fields...)
+	o.node.cfg.Logger.Info(msg, fields...)
 }
 
-// attempt is told of each attempt at an upstream.
+// attempt records an attempt at an upstream.
 func (o *observer) attempt(a forward.Attempt) {
 	o.node.usage.count(a.Customer, a.BegunAt)
 	switch {
 	case a.Err == nil && a.Status < 500:
 		o.count("attempts.answered")
-		return // its request's own line tells it
+		return // the log line of the request covers it
 	case errors.Is(a.Err, forward.ErrNotRun):
 		o.count("attempts.not_run")
 	default:
 		o.count("attempts.failed")
 	}
-	o.line(o.failures, true, "attempt failed", "request", a.Request, "content", a.Content.Fingerprint(), "route", a.Route, "upstream", a.Upstream, "attempt", a.Number, "status", a.Status, "took", a.Took, "err", a.Err)
+	o.logLine(o.failures, true, "attempt failed", "request", a.Request, "content", a.Content.Fingerprint(), "route", a.Route, "upstream", a.Upstream, "attempt", a.Number, "status", a.Status, "took", a.Took, "err", a.Err)
 }
 
-// request is told how a caller's request ended.
-func (o *observer) request(rt routetable.Route, r forward.Request, status int, begun time.Time, err error) {
-	took := time.Since(begun)
+// request records how a caller's request ended.
+func (o *observer) request(rt routetable.Route, r forward.Request, status int, started time.Time, err error) {
+	took := time.Since(started)
 	v := verdict.Of(err)
 	o.count("requests." + v.String())
 	o.time("requests.took", took)
 	budget := o.requests
 	if err != nil {
 		budget = o.failures
-		o.count("rejections." + rejection(err))
+		o.count("rejections." + rejectionReason(err))
 	}
-	o.line(budget, err != nil, "request", "request", r.ID, "route", rt.Name, "status", status, "verdict", v, "took", took,
+	o.logLine(budget, err != nil, "request", "request", r.ID, "route", rt.Name, "status", status, "verdict", v, "took", took,
 		"left", time.Until(r.Deadline), "configuration", o.node.configurationVersion(), "err", err)
 }
 
-// rejection names the reason of an error, for the counters.
-func rejection(err error) string {
+// rejectionReason returns the name of the counter for err.
+func rejectionReason(err error) string {
 	switch {
 	case errors.Is(err, errNoRoute):
 		return "no_route"
@@ -113,13 +114,13 @@
 	return "no_answer"
 }
 
-// quarantined is told what becomes of requests that crash upstreams.
+// quarantined records an event of the quarantine of requests that crash upstreams.
 func (o *observer) quarantined(e quarantine.Event) {
 	o.count("quarantine." + strings.ReplaceAll(e.What, " ", "_"))
-	o.line(o.failures, true, e.What, "content", e.Content, "upstream", e.Upstream, "ends", e.Crashes, "unexplained", e.Unexplained, "trials", e.Trials, "err", e.Err)
+	o.logLine(o.failures, true, e.What, "content", e.Content, "upstream", e.Upstream, "ends", e.Crashes, "unexplained", e.Unexplained, "trials", e.Trials, "err", e.Err)
 }
 
-// step is told what happens to items and submissions that run here.
+// step records an event of an item or submission that runs here.
 func (o *observer) step(s submission.RunEvent) {
 	o.count("items." + s.What)
 	budget := o.items
@@ -131,21 +132,21 @@
 	if s.Content != (quarantine.Fingerprint{}) {
 		fields = append(fields, "content", s.Content)
 	}
-	o.line(budget, s.Err != nil, s.What, fields...)
+	o.logLine(budget, s.Err != nil, s.What, fields...)
 }
 
-// source is told of each change of what the tables are followed by.
+// source records a change of the source through which tables are followed.
 func (o *observer) source(e watch.Event) {
 	if e.Err != nil {
-		o.line(o.failures, true, "relays", "err", e.Err)
+		o.logLine(o.failures, true, "relays", "err", e.Err)
 		return
 	}
 	o.count("watch.sources_taken")
-	o.node.cfg.Logger.Info("tables followed by", "source", e.Source.Kind, "relay", e.Source.Relay, "why", e.Reason, "away", e.Downtime)
+	o.node.cfg.Logger.Info("source of the followed tables changed", "source", e.Source.Kind, "relay", e.Source.Relay, "why", e.Reason, "away", e.Downtime)
 }
 
-// runEnded is told how a submission's run here ended: one line tells what its last
-// item waited for.
+// runEnded records how a submission's run here ended. Its log line tells how the time
+// of the last item was spent.
 func (o *observer) runEnded(h submission.Head, s submission.Summary, err error) {
 	writing := time.Duration(0)
 	if !s.LastItem.FinishedAt.IsZero() {
@@ -157,7 +158,7 @@
 		"attempts", s.Attempts, "refused", s.EmptyAttempts, "err", err)
 }
 
-// state tells the gauges what the control state holds.
+// state sets the gauges of the control state.
 func (o *observer) state(s *state) {
 	open := 0
 	for _, h := range s.heads {
@@ -171,12 +172,12 @@
 	o.gauge("members", int64(s.members.Size()))
 	o.gauge("configuration.version", int64(o.node.configurationVersion()))
 	o.gauge("orders.fencing_token_held", int64(o.node.orders.current().Fencing))
-	o.gauge("store.tables_away", int64(len(s.awaySince)))
+	o.gauge("store.tables_away", int64(len(s.unavailableSince)))
 	o.gauge("watch.watchers", int64(o.node.follower.Watchers()))
 	contents, quarantined := o.node.quarantine.Guard.Counts()
 	o.gauge("quarantine.contents", int64(contents))
 	o.gauge("quarantine.refused_contents", int64(quarantined))
-	for model, v := range s.named {
+	for model, v := range s.targetVersions {
 		o.gauge("weights.named."+model, int64(v))
 	}
 }
--- a/pkg/node/orderlease.go
+++ b/pkg/node/orderlease.go
@@ -10,65 +10,67 @@
 	"github.com/zinnialadder/zinnialadder/pkg/lease"
 )
 
-// keep takes and renews the lease while this instance is one of the candidates.
-func (o *orderSender) keep(ctx context.Context) error {
+// run acquires and renews the lease while this instance is one of the candidates, until
+// ctx is done.
+func (o *orderSender) run(ctx context.Context) error {
 	n := o.node
-	keeper := &lease.Manager{Table: n.cfg.Store, Clock: clock.System{}, Name: ordersLease, Holder: n.cfg.Name, TTL: orderTime + takeoverSlack}
+	manager := &lease.Manager{Table: n.cfg.Store, Clock: clock.System{}, Name: ordersLease, Holder: n.cfg.Name, TTL: orderWindow + takeoverDelay}
 	for ctx.Err() == nil {
 		if n.draining.Load() && o.current().Fencing != 0 {
-			o.giveUp(ctx, keeper)
+			o.release(ctx, manager)
 		}
-		if o.candidate() {
-			o.take(ctx, keeper)
+		if o.isCandidate() {
+			o.acquireOrRenew(ctx, manager)
 		}
-		o.wake.Wait(ctx, orderRenewal)
+		o.wake.Wait(ctx, leaseRenewInterval)
 	}
 	return nil
 }
 
-// take takes or renews the lease. With it goes the ledger: what the holders before
-// left of it is taken up, and replaced by this instance's own when it renews.
-func (o *orderSender) take(ctx context.Context, keeper *lease.Manager) {
+// acquireOrRenew acquires or renews the lease. The row of the lease holds the ledger:
+// this instance inherits the ledger of earlier holders when it acquires the lease, and
+// stores its own when it renews.
+func (o *orderSender) acquireOrRenew(ctx context.Context, manager *lease.Manager) {
 	n := o.node
-	tctx, cancel := context.WithTimeout(ctx, leaseCall)
+	tctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
 	if o.current().Fencing != 0 {
-		o.renew(tctx, keeper)
+		o.renew(tctx, manager)
 		return
 	}
-	held, err := keeper.Acquire(tctx, nil) // what the row holds stays in it
+	held, err := manager.Acquire(tctx, nil) // the data of the row is kept
 	switch {
 	case errors.Is(err, lease.ErrHeld):
 		return
 	case err != nil:
-		n.cfg.Logger.Debug("lease not taken", "lease", ordersLease, "err", err)
+		n.cfg.Logger.Debug("acquiring the lease failed; retrying", "lease", ordersLease, "err", err)
 		return
 	}
-	o.begin(held)
+	o.acquired(held)
 	n.cfg.Logger.Info("lease taken", "lease", ordersLease, "fencing", held.Fencing, "left_alone", string(held.Data))
 }
 
 // renew renews the lease with this instance's ledger.
-func (o *orderSender) renew(ctx context.Context, keeper *lease.Manager) {
+func (o *orderSender) renew(ctx context.Context, manager *lease.Manager) {
 	n := o.node
 	ids, data, err := o.encodeLedger(time.Now())
 	if err != nil {
-		n.cfg.Logger.Error("ledger of orders", "err", err)
+		n.cfg.Logger.Error("encoding the ledger of orders failed; lease not renewed", "err", err)
 		return
 	}
-	held, err := keeper.Renew(ctx, data)
+	held, err := manager.Renew(ctx, data)
 	switch {
 	case err == nil:
 		o.renewed(held, ids)
 	case errors.Is(err, lease.ErrHeld):
-		o.set(lease.Held{})
+		o.replaceHeld(lease.Held{})
 		n.cfg.Logger.Info("lease lost", "lease", ordersLease)
 	default:
-		n.cfg.Logger.Debug("lease not renewed", "lease", ordersLease, "err", err)
+		n.cfg.Logger.Debug("renewing the lease failed; retrying", "lease", ordersLease, "err", err)
 	}
 }
 
-// encodeLedger returns the engines in the ledger at now, and as they stand in the row.
+// encodeLedger returns the engines that are in the ledger at now, and their encoding.
 func (o *orderSender) encodeLedger(now time.Time) ([]string, json.RawMessage, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -77,63 +79,65 @@
 	return ids, data, err
 }
 
-// begin takes up a lease that another had before, or nobody.
-func (o *orderSender) begin(h lease.Held) {
+// acquired starts holding a lease that another instance, or none, held before.
+func (o *orderSender) acquired(h lease.Held) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err := o.ledger.inherit(h.Data, time.Now().Add(o.node.cfg.MinHolderInterval)); err != nil {
-		o.node.cfg.Logger.Error("ledger of orders", "err", err)
+		o.node.cfg.Logger.Error("malformed ledger of orders; continuing without it", "err", err)
 	}
-	o.setHeld(h)
+	o.replaceHeldLocked(h)
 }
 
-// renewed tells that the row of the lease holds the engines given.
+// renewed records that the row of the lease holds the given engines.
 func (o *orderSender) renewed(h lease.Held, ids []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.setHeld(h)
+	o.replaceHeldLocked(h)
 	for _, id := range ids {
-		o.written[id] = true
+		o.persisted[id] = true
 	}
 }
 
-// set takes up a lease, zero for none.
-func (o *orderSender) set(h lease.Held) {
+// replaceHeld replaces the lease that is held. The zero Held means that none is held
+// any more.
+func (o *orderSender) replaceHeld(h lease.Held) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.setHeld(h)
+	o.replaceHeldLocked(h)
 }
 
-// setHeld is set with o.mu held. Those that wait for the ledger to be written look
-// again.
-func (o *orderSender) setHeld(h lease.Held) {
+// replaceHeldLocked is replaceHeld with o.mu held. It wakes the callers of
+// waitPersisted, which check again.
+func (o *orderSender) replaceHeldLocked(h lease.Held) {
 	if o.held.Fencing == 0 || h.Fencing == 0 {
-		o.since = time.Time{}
+		o.heldAt = time.Time{}
 		if h.Fencing != 0 {
-			o.since = time.Now()
+			o.heldAt = time.Now()
 		}
 		o.node.duties.wake.Signal()
 	}
 	o.held = h
-	o.written = map[string]bool{}
-	close(o.wrote)
-	o.wrote = make(chan struct{})
+	o.persisted = map[string]bool{}
+	close(o.rowWritten)
+	o.rowWritten = make(chan struct{})
 }
 
-// enter has the ledger in the lease's row hold an engine before it is ordered. It
-// returns the lease as last renewed, under which the order is given.
-func (o *orderSender) enter(ctx context.Context, id string) (lease.Held, error) {
+// waitPersisted waits until the ledger stored in the row of the lease holds an engine,
+// which must precede an order to it. It returns the lease as last renewed, under which
+// the order is sent.
+func (o *orderSender) waitPersisted(ctx context.Context, id string) (lease.Held, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for !o.written[id] {
+	for !o.persisted[id] {
 		if o.held.Fencing == 0 {
-			return lease.Held{}, errTooLate
+			return lease.Held{}, errLeaseEnded
 		}
-		wrote := o.wrote
+		rowWritten := o.rowWritten
 		o.mu.Unlock()
-		o.wake.Signal() // a renewal that is under way may be without the engine
+		o.wake.Signal() // a renewal in flight may not include the engine
 		select {
-		case <-wrote:
+		case <-rowWritten:
 		case <-ctx.Done():
 		}
 		o.mu.Lock()
@@ -144,22 +148,23 @@
 	return o.held, nil
 }
 
-// orderUntil returns until when orders may be given under a lease: others take it
-// takeoverSlack later at the earliest.
-func orderUntil(h lease.Held) time.Time { return h.ValidUntil.Add(-takeoverSlack) }
+// ordersValidUntil returns the time until which orders may be sent under a lease. Other
+// instances acquire it at the earliest takeoverDelay later.
+func ordersValidUntil(h lease.Held) time.Time { return h.ValidUntil.Add(-takeoverDelay) }
 
-// giveUp gives the lease up, so that another instance orders engines before it would
-// lapse. The next holder leaves the engines that are in the ledger alone.
-func (o *orderSender) giveUp(ctx context.Context, keeper *lease.Manager) {
+// release releases the lease, so that another instance can order engines before it
+// would expire. The next holder does not order the engines in the ledger for as long as
+// holders must not alternate.
+func (o *orderSender) release(ctx context.Context, manager *lease.Manager) {
 	n := o.node
-	o.set(lease.Held{})
+	o.replaceHeld(lease.Held{})
 	for !o.idle() {
-		if !clock.Sleep(ctx, confirmPeriod) {
-			return // it lapses
+		if !clock.Sleep(ctx, confirmInterval) {
+			return // the lease expires
 		}
 	}
-	err := keeper.Release(ctx)
-	n.cfg.Logger.Info("lease given up", "lease", ordersLease, "err", err)
+	err := manager.Release(ctx)
+	n.cfg.Logger.Info("lease released", "lease", ordersLease, "err", err)
 }
 
 // idle reports whether no order is about to be sent.
@@ -169,27 +174,27 @@
 	return o.ledger.idle()
 }
 
-// sent tells that an order has been sent, or will not be.
-func (o *orderSender) sent(id string) {
+// orderSent records that an order was sent, or will not be.
+func (o *orderSender) orderSent(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.ledger.end(id, time.Now().Add(o.node.cfg.MinHolderInterval))
 }
 
-// heldSince returns when the lease that is held was taken, zero if none is.
+// heldSince returns when the held lease was acquired, zero if none is held.
 func (o *orderSender) heldSince() time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.since
+	return o.heldAt
 }
 
-// lose gives the lease up that had a fencing token when another holder was met, unless
-// it was taken anew since.
-func (o *orderSender) lose(fencing uint64) {
+// loseLease drops the lease with the given fencing token after another holder was
+// detected, unless the lease has been acquired again since.
+func (o *orderSender) loseLease(fencing uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.held.Fencing == fencing {
-		o.setHeld(lease.Held{})
+		o.replaceHeldLocked(lease.Held{})
 	}
 }
 
@@ -199,9 +204,9 @@
 	return o.held
 }
 
-// candidate reports whether this instance asks for the lease: a few do, so that
-// the store is not asked by all.
-func (o *orderSender) candidate() bool {
+// isCandidate reports whether this instance tries to acquire or renew the lease. Only a
+// few instances do, to limit the load of the store.
+func (o *orderSender) isCandidate() bool {
 	n := o.node
 	if !n.Ready() {
 		return false
@@ -209,6 +214,6 @@
 	if o.current().Fencing != 0 {
 		return true
 	}
-	st := n.standing.Load()
-	return st != nil && st.orders()
+	st := n.ranking.Load()
+	return st != nil && st.ordersCandidate()
 }
--- a/pkg/node/orderledger.go
+++ b/pkg/node/orderledger.go
@@ -8,52 +8,52 @@
 	"time"
 )
 
-// orderLedger is which engines have been given orders so recently that another
-// holder of the orders' lease must leave them alone. It is kept in the lease's row: an
-// engine is in it before it is ordered, so that whoever takes the lease next knows
-// which engines to wait for and can order all others at once.
+// orderLedger records the engines that were ordered so recently that another holder of
+// the orders lease must not order them. It is stored in the row of the lease: an engine
+// is entered before it is ordered, so that the next holder knows which engines to wait
+// for and can order all others at once.
 type orderLedger struct {
-	pending map[string]int       // orders that are about to be sent, by engine ID
-	until   map[string]time.Time // others leave the engine alone until then
-	blocked map[string]time.Time // this instance does, as earlier holders ordered it
+	pending       map[string]int       // orders about to be sent, by engine ID
+	excludedUntil map[string]time.Time // time until which other holders must not order an engine
+	blockedUntil  map[string]time.Time // time until which this instance must not, because earlier holders ordered it
 }
 
 func newOrderLedger() *orderLedger {
-	return &orderLedger{pending: map[string]int{}, until: map[string]time.Time{}, blocked: map[string]time.Time{}}
+	return &orderLedger{pending: map[string]int{}, excludedUntil: map[string]time.Time{}, blockedUntil: map[string]time.Time{}}
 }
 
-// inherit takes up the ledger that the holders before have left as data: the engines
-// in it are left alone until the time given.
+// inherit adds the ledger that earlier holders stored as data. The engines in it are
+// not ordered until the given time.
 func (l *orderLedger) inherit(data json.RawMessage, until time.Time) error {
 	if len(data) == 0 {
 		return nil
 	}
 	var ids []string
 	if err := json.Unmarshal(data, &ids); err != nil {
-		return fmt.Errorf("node: ledger of orders: %w", err)
+		return fmt.Errorf("node: decoding the ledger of orders: %w", err)
 	}
 	for _, id := range ids {
-		l.blocked[id] = until
+		l.blockedUntil[id] = until
 		l.extend(id, until)
 	}
 	return nil
 }
 
-// extend has others leave the engine alone until the time given at least.
+// extend makes other holders not order an engine until at least the given time.
 func (l *orderLedger) extend(id string, until time.Time) {
-	if until.After(l.until[id]) {
-		l.until[id] = until
+	if until.After(l.excludedUntil[id]) {
+		l.excludedUntil[id] = until
 	}
 }
 
 // mayOrder reports whether this instance may order an engine at now.
-func (l *orderLedger) mayOrder(id string, now time.Time) bool { return !now.Before(l.blocked[id]) }
+func (l *orderLedger) mayOrder(id string, now time.Time) bool { return !now.Before(l.blockedUntil[id]) }
 
 // begin enters an engine that is about to be ordered.
 func (l *orderLedger) begin(id string) { l.pending[id]++ }
 
-// end tells that an order has been sent, or will not be, and until when others are
-// to leave its engine alone.
+// end records that an order was sent, or will not be, and until when other holders must
+// not order its engine.
 func (l *orderLedger) end(id string, until time.Time) {
 	if l.pending[id]--; l.pending[id] <= 0 {
 		delete(l.pending, id)
@@ -64,14 +64,14 @@
 // idle reports whether no order is about to be sent.
 func (l *orderLedger) idle() bool { return len(l.pending) == 0 }
 
-// entries returns the IDs of the engines in the ledger at now, in order.
+// entries returns the sorted IDs of the engines in the ledger at now.
 func (l *orderLedger) entries(now time.Time) []string {
 	passed := func(_ string, until time.Time) bool { return !now.Before(until) }
-	maps.DeleteFunc(l.until, passed)
-	maps.DeleteFunc(l.blocked, passed)
-	ids := slices.Collect(maps.Keys(l.until))
+	maps.DeleteFunc(l.excludedUntil, passed)
+	maps.DeleteFunc(l.blockedUntil, passed)
+	ids := slices.Collect(maps.Keys(l.excludedUntil))
 	for id := range l.pending {
-		if _, in := l.until[id]; !in {
+		if _, in := l.excludedUntil[id]; !in {
 			ids = append(ids, id)
 		}
 	}
--- a/pkg/node/orderledger_test.go
+++ b/pkg/node/orderledger_test.go
@@ -14,12 +14,12 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m, 2000) }
 
-// Holders of the orders' lease that enter engines in the ledger, order them, are lost
-// at any moment and follow each other: no engine is ordered by two of them within the
-// time within which holders must not alternate, and one that nobody has ordered lately
-// is not waited for.
+// Holders of the orders lease enter engines in the ledger, order them, may be lost at
+// any moment and follow each other. No engine may be ordered by two holders within the
+// time in which holders must not alternate, and a holder must not wait for an engine
+// that nobody ordered recently.
 func TestHoldersDoNotAlternate(t *testing.T) {
-	const alternate = 3 * time.Second
+	const minHolderInterval = 3 * time.Second
 	engines := []string{"e1", "e2", "e3"}
 	type order struct {
 		holder int
@@ -28,7 +28,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_800_000_000, 0)
 		holder, ledger := 1, node.NewOrderLedger()
-		row := json.RawMessage(nil) // of the lease
+		row := json.RawMessage(nil) // data of the row of the lease
 		entered := map[string]bool{}
 		last := map[string]order{}
 		write := func() {
@@ -61,17 +61,17 @@
 				if !pending[id] || !entered[id] {
 					return // not in the row yet
 				}
-				if before, ok := last[id]; ok && before.holder != holder && now.Sub(before.at) < alternate {
-					t.Fatalf("%s ordered by holder %d %v after holder %d", id, holder, now.Sub(before.at), before.holder)
+				if before, ok := last[id]; ok && before.holder != holder && now.Sub(before.at) < minHolderInterval {
+					t.Fatalf("%s ordered by holder %d %v after it was ordered by holder %d", id, holder, now.Sub(before.at), before.holder)
 				}
 				last[id] = order{holder, now}
-				ledger.End(id, now.Add(alternate))
+				ledger.End(id, now.Add(minHolderInterval))
 				delete(pending, id)
 			},
 			"lost": func(t *rapid.T) {
-				now = now.Add(1500 * time.Millisecond) // until its lease has lapsed
+				now = now.Add(1500 * time.Millisecond) // until its lease has expired
 				holder, ledger = holder+1, node.NewOrderLedger()
-				if err := ledger.Inherit(row, now.Add(alternate)); err != nil {
+				if err := ledger.Inherit(row, now.Add(minHolderInterval)); err != nil {
 					t.Fatal(err)
 				}
 				clear(entered)
@@ -79,8 +79,8 @@
 			},
 			"": func(t *rapid.T) {
 				for _, id := range engines {
-					if o, ok := last[id]; (!ok || now.Sub(o.at) > 4*alternate) && !pending[id] && !ledger.MayOrder(id, now) && len(row) == 0 {
-						t.Fatalf("%s is left alone and nobody has ordered it", id)
+					if o, ok := last[id]; (!ok || now.Sub(o.at) > 4*minHolderInterval) && !pending[id] && !ledger.MayOrder(id, now) && len(row) == 0 {
+						t.Fatalf("MayOrder(%s) = false though nobody has ordered it recently", id)
 					}
 				}
 			},
@@ -88,8 +88,8 @@
 	})
 }
 
-// Whoever takes the lease leaves alone what is in the ledger, for its time and no
-// longer, also if another is lost in between, and nothing else.
+// A new holder must not order the engines in the inherited ledger until their time has
+// passed, even if another holder is lost in between. It may order all other engines.
 func TestLedgerIsInherited(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	first := node.NewOrderLedger()
@@ -97,19 +97,19 @@
 	first.Begin("e2")
 	first.End("e2", now.Add(time.Second))
 	if got := fmt.Sprint(first.Entries(now.Add(2 * time.Second))); got != "[e1]" {
-		t.Fatalf("ledger %s, want what is about to be sent", got)
+		t.Fatalf("Entries = %s, want [e1], whose order is about to be sent", got)
 	}
 	second := node.NewOrderLedger()
 	if err := second.Inherit(json.RawMessage(`["e1"]`), now.Add(3*time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if second.MayOrder("e1", now.Add(2*time.Second)) || !second.MayOrder("e1", now.Add(3*time.Second)) || !second.MayOrder("e2", now) {
-		t.Error("e1 is to be left alone for 3s, and e2 not at all")
+		t.Error("MayOrder is wrong: want false for e1 within 3 s and true afterwards, and true for e2")
 	}
 	if got := fmt.Sprint(second.Entries(now.Add(2 * time.Second))); got != "[e1]" {
-		t.Errorf("the second holder's ledger is %s, want what it inherited in it", got)
+		t.Errorf("Entries of the second holder = %s, want [e1], which it inherited", got)
 	}
 	if err := second.Inherit(json.RawMessage(`{`), now); err == nil {
-		t.Error("a ledger that cannot be read was taken")
+		t.Error("Inherit of malformed data = nil, want an error")
 	}
 }
--- a/pkg/node/plan.go
+++ b/pkg/node/plan.go
@@ -10,7 +10,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
-// plan gives the orders that are due. What it starts ends with ctx.
+// plan sends the orders that are due. The goroutines that it starts end when ctx is
+// done.
 func (o *orderSender) plan(ctx context.Context, p planOrders) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -18,24 +19,24 @@
 	if t == nil || o.held.Fencing == 0 {
 		return
 	}
-	until := orderUntil(o.held)
+	validUntil := ordersValidUntil(o.held)
 	for _, pool := range t.Pools {
 		if len(pool.Models) > 0 {
-			o.planPool(ctx, p, pool, until, !t.SingleVersion())
+			o.planPool(ctx, p, pool, validUntil, !t.SingleVersion())
 		}
 	}
 }
 
-// planPool gives the orders that are due in one pool, of which a part may load
-// at once.
-func (o *orderSender) planPool(ctx context.Context, p planOrders, pool routetable.Pool, until time.Time, carryOn bool) {
+// planPool sends the orders that are due in one pool, of whose engines a limited number
+// may load at once.
+func (o *orderSender) planPool(ctx context.Context, p planOrders, pool routetable.Pool, until time.Time, continueRunning bool) {
 	ids, _ := o.node.registry.NonDraining(pool.Name)
-	demands := ofPool(pool, p.demands)
-	parts := weights.AssignEngines(ids, demands)
+	demands := poolDemands(pool, p.demands)
+	assignments := weights.AssignEngines(ids, demands)
 	budget := max(minLoading, int(loadingShare*float64(len(ids))+0.5))
 	held := func(d weights.Demand) map[string]uint64 {
 		out := map[string]uint64{}
-		for _, id := range parts[d.Model] {
+		for _, id := range assignments[d.Model] {
 			if e, ok := o.node.registry.Entry(id); ok {
 				out[id] = e.Versions[d.Model]
 			}
@@ -49,10 +50,11 @@
 		for _, ord := range orders {
 			e, ok := o.node.registry.Entry(ord.Address)
 			if !ok {
-				continue // it has gone since; its order ends with its time
+				continue // the engine has gone since; its order times out
 			}
-			// Its fencing token will be that of the row that holds its engine's entry.
-			mo := weights.LoadOrder{Model: d.Model, Version: ord.Version, Holder: o.node.cfg.Name, Continue: carryOn}
+			// The fencing token is set when the order is sent: it is that of the row
+			// that holds the engine's ledger entry.
+			mo := weights.LoadOrder{Model: d.Model, Version: ord.Version, Holder: o.node.cfg.Name, Continue: continueRunning}
 			o.ledger.begin(e.ID)
 			o.node.group.Go(func() error {
 				o.send(ctx, key, e, mo)
@@ -62,9 +64,9 @@
 	}
 }
 
-// ofPool returns the demands for the models of a pool. While no work is known of
-// any, all are given the same.
-func ofPool(pool routetable.Pool, demands []weights.Demand) []weights.Demand {
+// poolDemands returns the demands for the models of a pool. While the work of no model
+// is known, all models get equal work.
+func poolDemands(pool routetable.Pool, demands []weights.Demand) []weights.Demand {
 	var out []weights.Demand
 	known := false
 	for _, m := range slices.Sorted(slices.Values(pool.Models)) {
@@ -87,7 +89,7 @@
 	return out
 }
 
-// loading returns how many engines of a pool load, or may, for other models
+// loading returns how many engines of a pool are loading, or may be, for models other
 // than that of key.
 func (o *orderSender) loading(pool, key string) int {
 	n := 0
@@ -104,19 +106,19 @@
 	return n
 }
 
-// reduce brings the rollout of one model up to date and returns its orders.
+// reduce updates the rollout of one model and returns its orders.
 func (o *orderSender) reduce(key string, d weights.Demand, held map[string]uint64, budget, free int, at, until time.Time) []weights.Order {
 	r, ok := o.rollouts[key]
 	if !ok {
-		r = weights.Rollout{Config: weights.Config{SendMargin: orderMargin, OrderTimeout: orderTimeout, RetryDelay: orderPause}}
+		r = weights.Rollout{Config: weights.Config{SendMargin: orderMargin, OrderTimeout: orderTimeout, RetryDelay: orderRetryDelay}}
 	}
 	r.Config.MaxLoading = budget
-	if o.ordered[key].version != d.TargetVersion {
-		o.ordered[key] = orderCount{version: d.TargetVersion}
+	if o.orderCounts[key].version != d.TargetVersion {
+		o.orderCounts[key] = orderCount{version: d.TargetVersion}
 	}
-	ids := weights.EnginesToLoad(held, d, free-o.ordered[key].orders)
+	ids := weights.EnginesToLoad(held, d, free-o.orderCounts[key].orders)
 	for id, e := range r.Engines {
-		if _, there := held[id]; there && (!e.OrderDeadline.IsZero() || at.Before(e.RetryAt)) && !slices.Contains(ids, id) {
+		if _, inPool := held[id]; inPool && (!e.OrderDeadline.IsZero() || at.Before(e.RetryAt)) && !slices.Contains(ids, id) {
 			ids = append(ids, id)
 		}
 	}
@@ -127,6 +129,6 @@
 	r, _ = r.Reduce(weights.VersionsReported{ByAddress: held, At: at})
 	r, orders := r.Reduce(weights.Tick{At: at})
 	o.rollouts[key] = r
-	o.ordered[key] = orderCount{version: d.TargetVersion, orders: o.ordered[key].orders + len(orders)}
+	o.orderCounts[key] = orderCount{version: d.TargetVersion, orders: o.orderCounts[key].orders + len(orders)}
 	return orders
 }
--- a/pkg/node/quarantine.go
+++ b/pkg/node/quarantine.go
@@ -11,11 +11,13 @@
 	"github.com/zinnialadder/zinnialadder/pkg/upstream"
 )
 
-// QuarantinePrefix begins the keys of the rows that tell which requests crash
-// upstreams. They lie in the members' table, as each instance follows that anyway.
+// QuarantinePrefix returns the key prefix of the rows that record which requests crash
+// upstreams. They are in the members table because each instance follows that table
+// anyway.
 func QuarantinePrefix() string { return membership.Prefix() + "quarantine/" }
 
-// newQuarantine returns what keeps requests that crash upstreams from them.
+// newQuarantine returns the Syncer of the guard that keeps requests that crash
+// upstreams away from them.
 func newQuarantine(n *Node) *quarantine.Syncer {
 	return quarantine.NewSyncer(quarantine.SyncerConfig{
 		Guard: quarantine.Config{
@@ -26,43 +28,44 @@
 		},
 		Commit: n.cfg.Store.Commit,
 		Prefix: QuarantinePrefix(),
-		Writer: n.start,
+		Writer: n.startID,
 		IsSweeper: func() bool {
-			st := n.standing.Load()
+			st := n.ranking.Load()
 			return st != nil && isAmongFirst(n.cfg.Name, st.roster, 1, QuarantinePrefix())
 		},
 		OnWriteError: func(rows int, err error) {
-			n.cfg.Logger.Debug("quarantine rows not written", "rows", rows, "err", err)
+			n.cfg.Logger.Debug("writing quarantine rows failed; retrying", "rows", rows, "err", err)
 		},
 	})
 }
 
-// isLeaving reports whether an upstream leaves by its own account: that it drains, or
-// that its entry is gone.
+// isLeaving reports whether an upstream announced that it leaves: it drains, or its
+// entry is gone.
 func (n *Node) isLeaving(e upstream.Entry) bool {
 	now, ok := n.registry.Entry(e.ID)
 	return !ok || now.Draining && now.SameProcess(e)
 }
 
-// learnQuarantine has the guard take rows that were read.
-type learnQuarantine struct {
+// applyQuarantineRows applies rows that were read to the guard.
+type applyQuarantineRows struct {
 	update quarantine.Update
 	reset  bool
 	at     time.Time
 }
 
-func (e learnQuarantine) carryOut(_ context.Context, n *Node) {
+func (e applyQuarantineRows) execute(_ context.Context, n *Node) {
 	if len(e.update.DecodeErrors) > 0 {
-		n.cfg.Logger.Warn("quarantine rows not understood", "err", errors.Join(e.update.DecodeErrors...))
+		n.cfg.Logger.Warn("malformed quarantine rows; ignoring them", "err", errors.Join(e.update.DecodeErrors...))
 	}
 	n.quarantine.Guard.Apply(e.update.Rows, e.reset, e.at)
 }
 
-// ReleaseQuarantine lets a content out of quarantine at all instances, and returns how many
-// facts were known of it. It counts anew from then on.
+// ReleaseQuarantine lifts the quarantine of the content fingerprint at all instances,
+// and returns how many rows about it were deleted. Crashes are counted from zero
+// afterwards.
 func ReleaseQuarantine(ctx context.Context, store platform.Store, content quarantine.Fingerprint) (int, error) {
 	prefix := QuarantinePrefix() + content.String() + "/"
-	page, err := store.ScanFrom(ctx, prefix, "", releaseRows)
+	page, err := store.ScanFrom(ctx, prefix, "", maxReleaseRows)
 	if err != nil || len(page.Rows) == 0 {
 		return 0, err
 	}
@@ -74,6 +77,6 @@
 	return len(ops), err
 }
 
-// releaseRows is how many rows Release deletes at the most: more than there are of one
-// content, unless many instances were without the store.
-const releaseRows = 100
+// maxReleaseRows is the maximum number of rows that ReleaseQuarantine deletes. One
+// content has fewer, unless many instances could not reach the store.
+const maxReleaseRows = 100
--- a/pkg/node/readers.go
+++ b/pkg/node/readers.go
@@ -9,61 +9,63 @@
 )
 
 const (
-	// pollPeriod is how often the store is asked for results that a reader
-	// waits for, when another instance runs the submission.
+	// pollPeriod is the period at which the store is polled for results that a reader
+	// waits for, while another instance runs the submission.
 	pollPeriod = 90 * time.Millisecond
-	// pageResults is how many results are read in one call.
-	pageResults = 100
-	// maxPageBytes bounds the results of one answer: readers take up to 1 MB.
+	// resultsPerRead is how many results are read from the store in one call.
+	resultsPerRead = 100
+	// maxPageBytes limits the size of a page of results: readers accept up to 1 MB.
 	maxPageBytes = 700 << 10
-	// keptSpecs and keptResults bound what is kept of submissions for readers.
-	keptSpecs   = 12
-	keptResults = 12
+	// specCacheSize and resultCacheSize are the numbers of submissions whose
+	// specification and results are cached for readers.
+	specCacheSize   = 12
+	resultCacheSize = 12
 )
 
-// ResultPage is a part of a submission's results.
+// ResultPage is one page of a submission's results.
 type ResultPage struct {
 	Total   int
 	Next    int // position after the last result
 	Results []submission.Result
 }
 
-// ownRun is a submission that runs here.
-type ownRun struct {
+// localRun is a submission that runs here.
+type localRun struct {
 	runner *submission.Runner
 	spec   submission.Spec
 	cancel context.CancelFunc
 	ended  chan struct{} // closed when the runner has returned
 }
 
-// readers serves those who read submissions, from the runs here, from what it
-// keeps of earlier reads, and from the store.
-type readers struct {
+// submissionReader serves reads of submissions: from the runs here, from its caches of
+// earlier reads, and from the store.
+type submissionReader struct {
 	node *Node
 
 	mu      sync.Mutex
-	runs    map[string]*ownRun
-	specs   *recent[submission.Spec]
-	results *recent[*resultCache]
+	runs    map[string]*localRun
+	specs   *fifoCache[submission.Spec]
+	results *fifoCache[*resultCache]
 }
 
-// resultCache holds the first results of a submission: positions never change.
+// resultCache holds the first results of a submission. It needs no invalidation,
+// because the position of a result never changes.
 type resultCache struct {
-	mu      sync.Mutex // held while the store is asked, so that readers ask it once
+	mu      sync.Mutex // held while the store is read, so that concurrent readers cause one read
 	results []submission.Result
 }
 
-func newReaders(n *Node) *readers {
-	return &readers{node: n, runs: map[string]*ownRun{}, specs: newRecent[submission.Spec](keptSpecs), results: newRecent[*resultCache](keptResults)}
+func newSubmissionReader(n *Node) *submissionReader {
+	return &submissionReader{node: n, runs: map[string]*localRun{}, specs: newFIFOCache[submission.Spec](specCacheSize), results: newFIFOCache[*resultCache](resultCacheSize)}
 }
 
-func (r *readers) own(id string, run *ownRun) {
+func (r *submissionReader) addRun(id string, run *localRun) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[id] = run
 }
 
-func (r *readers) disown(id string, runner *submission.Runner) {
+func (r *submissionReader) finishRun(id string, runner *submission.Runner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if run := r.runs[id]; run != nil && run.runner == runner {
@@ -74,14 +76,14 @@
 	}
 }
 
-// owning returns how many submissions run here.
-func (r *readers) owning() int {
+// runCount returns the number of submissions that run here.
+func (r *submissionReader) runCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.runs)
 }
 
-func (r *readers) stop(id string) {
+func (r *submissionReader) cancelRun(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if run := r.runs[id]; run != nil {
@@ -89,14 +91,14 @@
 	}
 }
 
-func (r *readers) run(id string) *ownRun {
+func (r *submissionReader) run(id string) *localRun {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[id]
 }
 
-// spec returns what a submission's sender handed over.
-func (r *readers) spec(ctx context.Context, o submission.HeadRow) (submission.Spec, error) {
+// spec returns the specification of a submission, from the store if it is not cached.
+func (r *submissionReader) spec(ctx context.Context, o submission.HeadRow) (submission.Spec, error) {
 	id := o.ID
 	r.mu.Lock()
 	if run := r.runs[id]; run != nil {
@@ -108,7 +110,7 @@
 	if ok {
 		return s, nil
 	}
-	s, err := r.node.log.Spec(ctx, o)
+	s, err := r.node.submissions.Spec(ctx, o)
 	if err != nil {
 		return s, err
 	}
@@ -118,23 +120,23 @@
 	return s, nil
 }
 
-// page returns the results of a submission from position after on, waiting
-// until there is one, wait is over or ctx ends.
-func (r *readers) page(ctx context.Context, o submission.HeadRow, after int, until time.Time) (ResultPage, error) {
+// page returns the results of a submission from position after on. It blocks until
+// there is a result, until has passed or ctx is done.
+func (r *submissionReader) page(ctx context.Context, o submission.HeadRow, after int, until time.Time) (ResultPage, error) {
 	for {
-		results, changed, err := r.from(ctx, o, after)
+		results, changed, err := r.resultsFrom(ctx, o, after)
 		if err != nil {
 			return ResultPage{}, err
 		}
-		left := time.Until(until)
-		if len(results) > 0 || after >= o.Total || left <= 0 || ctx.Err() != nil {
-			results = fitting(results)
+		remaining := time.Until(until)
+		if len(results) > 0 || after >= o.Total || remaining <= 0 || ctx.Err() != nil {
+			results = limitPageSize(results)
 			return ResultPage{Total: o.Total, Next: after + len(results), Results: results}, nil
 		}
 		if changed == nil {
-			left = min(left, pollPeriod)
+			remaining = min(remaining, pollPeriod)
 		}
-		t := time.NewTimer(left)
+		t := time.NewTimer(remaining)
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -144,9 +146,9 @@
 	}
 }
 
-// from returns results from a position on, and a channel that tells of more if
-// the submission runs here.
-func (r *readers) from(ctx context.Context, o submission.HeadRow, after int) ([]submission.Result, <-chan struct{}, error) {
+// resultsFrom returns results from a position on and, if the submission runs here, a
+// channel that is closed when there are more.
+func (r *submissionReader) resultsFrom(ctx context.Context, o submission.HeadRow, after int) ([]submission.Result, <-chan struct{}, error) {
 	if run := r.run(o.ID); run != nil {
 		results, changed := run.runner.Results(after)
 		return results, changed, nil
@@ -161,7 +163,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.results) <= after && len(c.results) < o.Total {
-		more, err := r.node.log.Results(ctx, o.ID, len(c.results), pageResults)
+		more, err := r.node.submissions.Results(ctx, o.ID, len(c.results), resultsPerRead)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -173,8 +175,8 @@
 	return c.results[min(after, len(c.results)):], nil, nil
 }
 
-// fitting returns as many of the results as fit into one answer, at least one.
-func fitting(results []submission.Result) []submission.Result {
+// limitPageSize returns as many of the results as fit into one response, at least one.
+func limitPageSize(results []submission.Result) []submission.Result {
 	size := 0
 	for i, res := range results {
 		if size += len(res.Output) + len(res.Score) + len(res.Item) + 100; size > maxPageBytes && i > 0 {
@@ -184,23 +186,23 @@
 	return results
 }
 
-// recent keeps the values of the last keys put.
-type recent[T any] struct {
+// fifoCache holds the values of the last limit keys added.
+type fifoCache[T any] struct {
 	limit  int
 	keys   []string // oldest first
 	values map[string]T
 }
 
-func newRecent[T any](limit int) *recent[T] {
-	return &recent[T]{limit: limit, values: map[string]T{}}
+func newFIFOCache[T any](limit int) *fifoCache[T] {
+	return &fifoCache[T]{limit: limit, values: map[string]T{}}
 }
 
-func (r *recent[T]) get(key string) (T, bool) {
+func (r *fifoCache[T]) get(key string) (T, bool) {
 	v, ok := r.values[key]
 	return v, ok
 }
 
-func (r *recent[T]) put(key string, v T) {
+func (r *fifoCache[T]) put(key string, v T) {
 	if _, ok := r.values[key]; !ok {
 		r.keys = append(r.keys, key)
 		if len(r.keys) > r.limit {
@@ -211,15 +213,15 @@
 	r.values[key] = v
 }
 
-// headIndex holds the heads of all submissions for readers.
+// headIndex holds the heads of all submissions for concurrent readers.
 type headIndex struct {
-	mu    sync.Mutex
-	heads map[string]submission.HeadRow
-	last  map[string]submission.HeadRow // by ownerKey, that which changed last
+	mu          sync.Mutex
+	heads       map[string]submission.HeadRow
+	lastChanged map[string]submission.HeadRow // last changed head with an owner, by ownerKey
 }
 
 func (x *headIndex) init() {
-	x.heads, x.last = map[string]submission.HeadRow{}, map[string]submission.HeadRow{}
+	x.heads, x.lastChanged = map[string]submission.HeadRow{}, map[string]submission.HeadRow{}
 }
 
 func (x *headIndex) set(o submission.HeadRow) {
@@ -229,24 +231,24 @@
 		return
 	}
 	x.heads[o.ID] = o
-	if key := ownerKey(o.Head); o.Owner != "" && o.Fencing > x.last[key].Fencing {
-		x.last[key] = o
+	if key := ownerKey(o.Head); o.Owner != "" && o.Fencing > x.lastChanged[key].Fencing {
+		x.lastChanged[key] = o
 	}
 }
 
-// drop forgets a submission that has been swept.
-func (x *headIndex) drop(id string) {
+// remove removes a submission that has been deleted.
+func (x *headIndex) remove(id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	delete(x.heads, id)
 }
 
-// lastOwner returns the owner of the submission of a kind whose head changed
-// last, empty for none.
+// lastOwner returns the owner of the submission with the ownerKey key whose head
+// changed last, empty for none.
 func (x *headIndex) lastOwner(key string) string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.last[key].Owner
+	return x.lastChanged[key].Owner
 }
 
 func (x *headIndex) get(id string) (submission.HeadRow, bool) {
--- a/pkg/node/relay.go
+++ b/pkg/node/relay.go
@@ -13,29 +13,30 @@
 	"github.com/zinnialadder/zinnialadder/pkg/watch"
 )
 
-// relayedMembers is what is passed on of the members' table to those who follow it
-// through this instance: who is there and who has lapsed, without renewals, and the rows
-// of quarantined requests.
+// relayedMembers tracks what this instance, as a relay, passes on of the members table:
+// which members are live and which are stale, without renewals of their rows, and the
+// rows of quarantined requests.
 type relayedMembers struct {
 	quarantine map[string]platform.Row // by key
 
-	// roster and rows are what was passed on last, roster nil for nothing.
-	roster *membership.Roster
-	rows   int
-	anew   bool // rows of quarantined requests have changed since
+	// roster and rows are those last passed on. A nil roster means that nothing has
+	// been passed on.
+	roster            *membership.Roster
+	rows              int
+	quarantineChanged bool // rows of quarantined requests have changed since
 }
 
-// learn takes rows of quarantined requests.
-func (r *relayedMembers) learn(changes []platform.Change, reset bool) {
+// applyQuarantine applies changes of the rows of quarantined requests.
+func (r *relayedMembers) applyQuarantine(changes []platform.Change, reset bool) {
 	if reset || r.quarantine == nil {
-		r.anew = r.anew || len(r.quarantine) > 0
+		r.quarantineChanged = r.quarantineChanged || len(r.quarantine) > 0
 		r.quarantine = map[string]platform.Row{}
 	}
 	for _, ch := range changes {
 		if !strings.HasPrefix(ch.Key, QuarantinePrefix()) {
 			continue
 		}
-		r.anew = true
+		r.quarantineChanged = true
 		if ch.Deleted {
 			delete(r.quarantine, ch.Key)
 			continue
@@ -44,34 +45,35 @@
 	}
 }
 
-// relay returns what is to be passed on of the members, if that has changed.
+// relay returns the effect that passes on the members, if they have changed.
 func (s *state) relay(t tick) []effect {
 	r := &s.relayed
-	if !t.Relays || !s.read[membership.Table] {
+	if !t.Relays || !s.tablesRead[membership.Table] {
 		r.roster = nil
 		return nil
 	}
 	roster, rows := s.members.Roster(t.At, s.name), s.members.Size()
-	if r.roster == roster && r.rows == rows && !r.anew {
+	if r.roster == roster && r.rows == rows && !r.quarantineChanged {
 		return nil
 	}
-	r.roster, r.rows, r.anew = roster, rows, false
-	return []effect{relayMembers{told: s.members.RelayedMembers(t.At, s.name), others: slices.Collect(maps.Values(r.quarantine)), at: t.At}}
+	r.roster, r.rows, r.quarantineChanged = roster, rows, false
+	return []effect{relayMembers{states: s.members.RelayedMembers(t.At, s.name), quarantineRows: slices.Collect(maps.Values(r.quarantine)), at: t.At}}
 }
 
-// relayMembers passes on what is known of the members.
+// relayMembers publishes the members to the instances that follow tables through this
+// one.
 type relayMembers struct {
-	told   []membership.RelayedMember
-	others []platform.Row
-	at     time.Time
+	states         []membership.RelayedMember
+	quarantineRows []platform.Row
+	at             time.Time
 }
 
-func (e relayMembers) carryOut(_ context.Context, n *Node) {
-	rows := slices.Clone(e.others)
-	for _, t := range e.told {
-		value, err := n.told.encode(t)
+func (e relayMembers) execute(_ context.Context, n *Node) {
+	rows := slices.Clone(e.quarantineRows)
+	for _, t := range e.states {
+		value, err := n.encodedMembers.encode(t)
 		if err != nil {
-			n.cfg.Logger.Error("member not passed on", "member", t.Name, "err", err)
+			n.cfg.Logger.Error("encoding a member failed; not passing it on to followers", "member", t.Name, "err", err)
 			continue
 		}
 		rows = append(rows, platform.Row{Key: membership.Key(t.Name), Value: value})
@@ -79,16 +81,16 @@
 	n.follower.SetDerived(membership.Table, rows, e.at)
 }
 
-// toldMembers keeps members as they were last encoded: of hundreds a few change at once.
-// It belongs to the control goroutine.
-type toldMembers map[string]toldMember
+// memberEncodings caches the encoding of members by name: of hundreds of members a few
+// change at once. It is used only by the control goroutine.
+type memberEncodings map[string]encodedMember
 
-type toldMember struct {
+type encodedMember struct {
 	membership.RelayedMember
 	value []byte
 }
 
-func (m toldMembers) encode(t membership.RelayedMember) ([]byte, error) {
+func (m memberEncodings) encode(t membership.RelayedMember) ([]byte, error) {
 	if old, ok := m[t.Name]; ok && old.RelayedMember == t {
 		return old.value, nil
 	}
@@ -96,14 +98,15 @@
 	if err != nil {
 		return nil, err
 	}
-	m[t.Name] = toldMember{t, value}
+	m[t.Name] = encodedMember{t, value}
 	return value, nil
 }
 
-// Watch answers those who follow tables through this instance.
+// Watch serves an instance that follows tables through this one. It is called for each
+// such instance.
 func (n *Node) Watch(ctx context.Context, tables []peer.WatchedTable, send func(peer.WatchUpdate) error) error {
 	return n.follower.Watch(ctx, tables, send)
 }
 
-// Source returns what the instance follows the store's tables by.
+// Source returns the source through which the instance follows the store's tables.
 func (n *Node) Source() watch.Source { return n.follower.Source() }
--- a/pkg/node/service.go
+++ b/pkg/node/service.go
@@ -18,31 +18,33 @@
 )
 
 const (
-	// returnAfter is when a caller may come back that the store could not serve:
-	// it is asked again by then, or another instance reaches it.
-	returnAfter = 400 * time.Millisecond
-	// elsewhereAfter is when the sender of a submission may come back that this
-	// instance cannot keep: at once, as it asks another one then, which reaches the
-	// store itself or is the next to say no within milliseconds. The pause spares
-	// instances while all have lost it.
-	elsewhereAfter = 100 * time.Millisecond
-	// acceptTime bounds what a submission may take to be kept. Its sender tries
-	// another instance after it.
-	acceptTime = 2500 * time.Millisecond
-	// scoreTime bounds one call of a scorer on a route that sets no time.
-	scoreTime = 2 * time.Second
+	// unavailableRetryAfter is the delay after which a caller may retry if the instance
+	// is not ready to serve it. By then the store has been tried again, or another
+	// instance can reach it.
+	unavailableRetryAfter = 400 * time.Millisecond
+	// elsewhereRetryAfter is the delay after which the sender of a submission may retry
+	// if this instance cannot store it. It is short because the sender then tries
+	// another instance, which reaches the store or also refuses within milliseconds.
+	// The delay limits the load of instances while none of them can reach the store.
+	elsewhereRetryAfter = 100 * time.Millisecond
+	// acceptTimeout is the timeout of storing a submission, after which its sender
+	// tries another instance.
+	acceptTimeout = 2500 * time.Millisecond
+	// defaultScoreTimeout is the timeout of one call of a scorer on a route that sets
+	// none.
+	defaultScoreTimeout = 2 * time.Second
 )
 
-var errStoreLost = errors.New("node: no way to the store")
+var errStoreUnreachable = errors.New("node: store unreachable")
 
-// Ready reports whether the instance takes requests.
+// Ready reports whether the instance accepts requests.
 func (n *Node) Ready() bool { return n.ready.Load() && !n.draining.Load() }
 
-// Draining reports whether the instance is told to stop.
+// Draining reports whether the instance has been told to stop.
 func (n *Node) Draining() bool { return n.draining.Load() }
 
 // Owns reports whether the instance runs the submission.
-func (n *Node) Owns(id string) bool { return n.readers.run(id) != nil }
+func (n *Node) Owns(id string) bool { return n.reader.run(id) != nil }
 
 // Limits returns the limits in force for callers' requests.
 func (n *Node) Limits() routetable.Limits {
@@ -52,113 +54,115 @@
 	return routetable.Limits{}
 }
 
-// Forward forwards r by route rt.
+// Forward forwards r on route rt.
 func (n *Node) Forward(ctx context.Context, rt routetable.Route, r forward.Request) (forward.Response, error) {
-	begun := time.Now()
+	started := time.Now()
 	a, err := n.forwarder.Do(ctx, rt, r)
-	n.observer.request(rt, r, a.Status, begun, err)
+	n.observer.request(rt, r, a.Status, started, err)
 	return a, err
 }
 
-// Stream forwards a request for a stream of events by route rt. prompt names the
-// prompt that it shares, if any.
+// Stream forwards a request for a stream of events on route rt. prompt identifies the
+// prompt that the request shares with others, empty for none.
 func (n *Node) Stream(ctx context.Context, rt routetable.Route, r forward.Request, prompt string, sink forward.Sink) error {
-	begun := time.Now()
+	started := time.Now()
 	if r.Model != "" {
-		n.dealer.need()
+		n.assigner.ensureCurrent()
 	}
 	err := n.forwarder.Stream(ctx, rt, r, prompt, sink)
-	n.observer.request(rt, r, 0, begun, err)
+	n.observer.request(rt, r, 0, started, err)
 	return err
 }
 
-// Submit keeps a submission and runs it. After its errors of verdict NotRun no
-// part of it runs.
+// Submit stores a submission, to be run by its owner. After an error with verdict
+// NotRun no part of it runs.
 func (n *Node) Submit(ctx context.Context, s submission.Spec) error {
 	if o, ok := n.heads.get(s.ID); ok {
-		return kept(o, s)
+		return checkCustomer(o, s)
 	}
 	if n.draining.Load() {
 		return verdict.Refuse(http.StatusServiceUnavailable, time.Now(), errors.New("node: draining"))
 	}
 	if n.cfg.StoreReachability.Unreachable() {
-		return verdict.Refuse(http.StatusServiceUnavailable, time.Now().Add(elsewhereAfter), errStoreLost)
+		return verdict.Refuse(http.StatusServiceUnavailable, time.Now().Add(elsewhereRetryAfter), errStoreUnreachable)
 	}
-	// The sender's leaving does not end it: what has begun may be kept.
-	ctx, cancel := n.whileReached(ctx)
+	// The call of the store continues if the sender disconnects, because the submission
+	// may have been stored already.
+	ctx, cancel := n.withReachable(ctx)
 	defer cancel()
-	begun := time.Now()
+	started := time.Now()
 	owner := n.owner(s)
-	o, err := n.log.Accept(ctx, s, owner, owner == n.start, begun)
+	o, err := n.submissions.Accept(ctx, s, owner, owner == n.startID, started)
 	if err != nil {
 		n.observer.count("submissions.not_kept")
-		n.cfg.Logger.Warn("submission not kept", "submission", s.ID, "took", time.Since(begun), "err", err)
+		n.cfg.Logger.Warn("submission not kept", "submission", s.ID, "took", time.Since(started), "err", err)
 		if errors.Is(err, platform.ErrNotApplied) {
-			return verdict.Refuse(http.StatusServiceUnavailable, time.Now().Add(elsewhereAfter), err)
+			return verdict.Refuse(http.StatusServiceUnavailable, time.Now().Add(elsewhereRetryAfter), err)
 		}
 		return verdict.New(verdict.MayHaveRun, http.StatusGatewayTimeout, err)
 	}
 	n.observer.count("submissions.kept")
-	n.observer.time("submissions.keep", time.Since(begun))
-	n.cfg.Logger.Info("submission kept", "submission", s.ID, "items", len(s.Items), "min_version", s.MinVersion, "owner", o.Owner, "took", time.Since(begun))
+	n.observer.time("submissions.keep", time.Since(started))
+	n.cfg.Logger.Info("submission kept", "submission", s.ID, "items", len(s.Items), "min_version", s.MinVersion, "owner", o.Owner, "took", time.Since(started))
 	n.heads.set(o)
-	if err := kept(o, s); err != nil {
-		n.dropSpec(context.WithoutCancel(ctx), s)
+	if err := checkCustomer(o, s); err != nil {
+		n.deleteSpec(context.WithoutCancel(ctx), s)
 		return err
 	}
-	n.tell(ctx, accepted{o, s})
+	n.enqueue(ctx, accepted{o, s})
 	return nil
 }
 
-// dropSpec deletes what was written of a submission that is not kept.
-func (n *Node) dropSpec(ctx context.Context, s submission.Spec) {
+// deleteSpec deletes the stored specification of a submission that is refused.
+func (n *Node) deleteSpec(ctx context.Context, s submission.Spec) {
 	n.group.Go(func() error {
-		ctx, cancel := context.WithTimeout(ctx, storeTime)
+		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
-		if err := n.log.DeleteSpec(ctx, s); err != nil {
-			n.cfg.Logger.Warn("refused submission not dropped", "submission", s.ID, "err", err)
+		if err := n.submissions.DeleteSpec(ctx, s); err != nil {
+			n.cfg.Logger.Warn("specification of a refused submission not deleted; leaving it", "submission", s.ID, "err", err)
 		}
 		return nil
 	})
 }
 
-// whileReached returns a context for calls of the store that a caller waits for. It
-// does not end when the caller leaves, as what has begun may be kept, but when no way
-// leads to the store: another instance may have one, and a caller that waited here for
-// acceptTime would have asked it long since.
-func (n *Node) whileReached(ctx context.Context) (context.Context, context.CancelFunc) {
-	ctx, reachedNoMore := n.cfg.StoreReachability.WhileReachable(context.WithoutCancel(ctx))
-	ctx, cancel := context.WithTimeout(ctx, acceptTime)
-	return ctx, func() { cancel(); reachedNoMore() }
+// withReachable returns a context for calls of the store that a caller waits for. It is
+// not cancelled when the caller disconnects, because the call may have taken effect
+// already, but when the store becomes unreachable: another instance may be able to
+// reach it, and a caller that waited here for acceptTimeout could have tried that one
+// long before.
+func (n *Node) withReachable(ctx context.Context) (context.Context, context.CancelFunc) {
+	ctx, cancelReachable := n.cfg.StoreReachability.WhileReachable(context.WithoutCancel(ctx))
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
+	return ctx, func() { cancel(); cancelReachable() }
 }
 
-// owner returns the instance that is to run s: the one that was chosen for the
-// last submission of its kind if that can, so that ownership does not wander as
+// owner returns the start ID of the instance that is to run s: the one chosen for the
+// last submission with the same ownerKey if it can, so that ownership does not move as
 // instances come and go.
 func (n *Node) owner(s submission.Spec) string {
 	h := submission.Head{Host: s.Host, Path: s.Path, Model: s.Model}
-	st := n.standing.Load()
+	st := n.ranking.Load()
 	if st == nil {
-		return n.start
+		return n.startID
 	}
-	able := owners(st.roster.Members, h)
+	candidates := owners(st.roster.Members, h)
 	last := n.heads.lastOwner(ownerKey(h))
-	if slices.ContainsFunc(able, func(m *membership.Member) bool { return m.StartID == last }) {
+	if slices.ContainsFunc(candidates, func(m *membership.Member) bool { return m.StartID == last }) {
 		return last
 	}
-	if len(able) > 0 {
-		return able[0].StartID
+	if len(candidates) > 0 {
+		return candidates[0].StartID
 	}
-	return n.start
+	return n.startID
 }
 
-// head returns the head of a customer's submission, from the store if it is not
-// known. Another's is unknown.
+// head returns the head of a customer's submission, from the store if it is not cached.
+// The submission of another customer is reported as not found.
 func (n *Node) head(ctx context.Context, id, customer string) (submission.HeadRow, error) {
 	o, ok := n.heads.get(id)
 	if !ok {
 		var err error
-		if o, err = n.log.Head(ctx, id); err != nil {
+		if o, err = n.submissions.Head(ctx, id); err != nil {
 			return o, err
 		}
 		n.heads.set(o)
@@ -169,24 +173,25 @@
 	return o, nil
 }
 
-// Results returns results of a customer's submission from position after on, waiting for
-// one until the time given. Its errors are submission.ErrUnknown and ErrNotSure.
+// Results returns results of a customer's submission from position after on. It blocks
+// until there is one or until has passed. Its errors are submission.ErrNotFound and
+// ErrStoreUnavailable.
 func (n *Node) Results(ctx context.Context, id, customer string, after int, until time.Time) (ResultPage, error) {
 	o, err := n.head(ctx, id, customer)
 	if err != nil {
 		return ResultPage{}, err
 	}
-	return n.readers.page(ctx, o, after, until)
+	return n.reader.page(ctx, o, after, until)
 }
 
-// Body returns the body of an item that a customer's submission holds. Its errors are
-// submission.ErrUnknown, ErrNoItem and ErrNotSure.
+// Body returns the body of an item of a customer's submission. Its errors are
+// submission.ErrNotFound, ErrItemNotFound and ErrStoreUnavailable.
 func (n *Node) Body(ctx context.Context, id, customer, item string) ([]byte, error) {
 	o, err := n.head(ctx, id, customer)
 	if err != nil {
 		return nil, err
 	}
-	s, err := n.readers.spec(ctx, o)
+	s, err := n.reader.spec(ctx, o)
 	if err != nil {
 		return nil, err
 	}
@@ -198,15 +203,15 @@
 	return nil, submission.ErrItemNotFound
 }
 
-// End ends a customer's submission: what runs of it is cancelled, its results stay.
+// End ends a customer's submission: its runs are cancelled, its results remain.
 func (n *Node) End(ctx context.Context, id, customer string) error {
 	o, err := n.head(ctx, id, customer)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := n.whileReached(ctx)
+	ctx, cancel := n.withReachable(ctx)
 	defer cancel()
-	o, err = n.log.UpdateHead(ctx, o, func(h submission.Head) (submission.Head, bool) {
+	o, err = n.submissions.UpdateHead(ctx, o, func(h submission.Head) (submission.Head, bool) {
 		if h.Ended {
 			return h, false
 		}
@@ -218,18 +223,18 @@
 	}
 	n.cfg.Logger.Info("submission ended", "submission", id)
 	n.heads.set(o)
-	n.readers.stop(id)
+	n.reader.cancelRun(id)
 	return nil
 }
 
-// runnerConfig returns the configuration of the runners here.
+// runnerConfig returns the configuration of the runners of this instance.
 func (n *Node) runnerConfig() submission.Config {
 	return submission.Config{
 		Priority:   n.priority,
-		Repository: n.log, Registry: n.registry, Generator: n.cfg.Upstreams, Guard: n.quarantine.Guard, Score: n.score, Rand: draw, OnEvent: n.observer.step,
-		ScorerLimit: n.scoreRoom,
+		Repository: n.submissions, Registry: n.registry, Generator: n.cfg.Upstreams, Guard: n.quarantine.Guard, Score: n.score, Rand: randomFloat, OnEvent: n.observer.step,
+		ScorerLimit: n.scorerLimit,
 		TargetVersion: func(model string) uint64 {
-			if named := n.named.Load(); named != nil {
+			if named := n.targetVersions.Load(); named != nil {
 				return (*named)[model]
 			}
 			return 0
@@ -245,31 +250,31 @@
 	}
 }
 
-// minScoreRoom is how many calls of a scorer an instance has under way at least
-// where there are items to score.
-const minScoreRoom = 8
+// minScorerLimit is the lower bound of the calls of a scorer that an instance has in
+// flight at once, as far as the scorer has slots.
+const minScorerLimit = 8
 
-// scoreRoom returns how many calls of c's scorer may be under way at once: this
-// instance's part of its upstreams' slots, as each model's submissions run at one
-// instance.
-func (n *Node) scoreRoom(c submission.Call) int {
+// scorerLimit returns how many calls of c's scorer may be in flight at once: this
+// instance's share of the slots of its upstreams, as the submissions of each model run
+// at one instance.
+func (n *Node) scorerLimit(c submission.Call) int {
 	rt, err := n.Route(c.Host, c.Path)
 	if err != nil {
 		return 1
 	}
 	slots := 0
 	for _, s := range rt.Shares {
-		_, more := n.registry.NonDraining(s.Pool)
-		slots += more
+		_, poolSlots := n.registry.NonDraining(s.Pool)
+		slots += poolSlots
 	}
 	models := 1
-	if named := n.named.Load(); named != nil {
+	if named := n.targetVersions.Load(); named != nil {
 		models = max(1, len(*named))
 	}
-	return max(slots/models, min(slots, minScoreRoom), 1)
+	return max(slots/models, min(slots, minScorerLimit), 1)
 }
 
-// score sends a scorer's call once.
+// score sends a call to a scorer, without retries.
 func (n *Node) score(ctx context.Context, c submission.Call) submission.ScoreResult {
 	rt, err := n.Route(c.Host, c.Path)
 	if err != nil {
@@ -278,9 +283,9 @@
 	s := submission.ScoreResult{MaxAttempts: rt.MaxAttempts}
 	wait := rt.Timeout
 	if wait == 0 {
-		wait = scoreTime
+		wait = defaultScoreTimeout
 	}
-	rt.MaxAttempts = 1 // each of its failures is counted
+	rt.MaxAttempts = 1 // the caller counts each failure
 	a, err := n.forwarder.Do(ctx, rt, forward.Request{ID: c.ID, Method: http.MethodPost, URI: c.Path, Host: c.Host,
 		Header: http.Header{}, Body: c.Body, Deadline: time.Now().Add(wait)})
 	if err != nil {
--- a/pkg/node/standing.go
+++ b/pkg/node/standing.go
@@ -8,25 +8,25 @@
 	"github.com/zinnialadder/zinnialadder/pkg/submission"
 )
 
-// standing is where an instance stands among the live members. What it tells is worked
-// out once for each roster, when it is wanted first: among hundreds of members rosters
-// change many times a second, and most instances want little of it.
-type standing struct {
-	roster  *membership.Roster
-	callers func() []*membership.Member // as ranked for callers, without those that drain
-	standby func() bool                 // callers are told of this instance, or soon may be
-	orders  func() bool                 // this instance asks for the lease of the orders
+// memberRanking holds what an instance derives from the ranking of the live members.
+// Each function computes its result once for each roster, on first use: among hundreds
+// of members rosters change many times a second, and most instances need little of it.
+type memberRanking struct {
+	roster          *membership.Roster
+	callers         func() []*membership.Member // members that do not drain, ranked for callers
+	standby         func() bool                 // reports whether callers are, or soon may be, given this instance's address
+	ordersCandidate func() bool                 // reports whether this instance is a candidate for the orders lease
 }
 
-func newStanding(name string, r *membership.Roster) *standing {
-	return &standing{roster: r,
-		callers: sync.OnceValue(func() []*membership.Member { return rankedForCallers(r.Members) }),
-		standby: sync.OnceValue(func() bool { return isStandby(name, r) }),
-		orders:  sync.OnceValue(func() bool { return isAmongFirst(name, r, orderCandidates, ordersLease) })}
+func newMemberRanking(name string, r *membership.Roster) *memberRanking {
+	return &memberRanking{roster: r,
+		callers:         sync.OnceValue(func() []*membership.Member { return rankedForCallers(r.Members) }),
+		standby:         sync.OnceValue(func() bool { return isStandby(name, r) }),
+		ordersCandidate: sync.OnceValue(func() bool { return isAmongFirst(name, r, leaseCandidates, ordersLease) })}
 }
 
-// isAmongFirst reports whether the instance named name is one of the first n members
-// of r as key ranks them.
+// isAmongFirst reports whether the instance named name is one of the first n members of
+// r in the ranking for key.
 func isAmongFirst(name string, r *membership.Roster, n int, key string) bool {
 	self, ok := r.Member(name)
 	return ok && route.RankOf(r.Members, memberName, key, self) < n
@@ -36,16 +36,15 @@
 
 func memberCores(m *membership.Member) float64 { return m.Cores }
 
-// ranks holds the rankings of one roster's members as owners, so that each is made
-// once however many submissions wait for an owner.
-type ranks struct {
+// ownerRankings caches the rankings of one roster's members as owners, so that each is
+// computed once, however many submissions wait for an owner.
+type ownerRankings struct {
 	roster *membership.Roster
 	byKey  map[string][]*membership.Member
 }
 
-// owners returns the members of r that may own a submission, first the one that
-// should.
-func (x *ranks) owners(r *membership.Roster, h submission.Head) []*membership.Member {
+// owners returns the members of r that may own the submission, in order of preference.
+func (x *ownerRankings) owners(r *membership.Roster, h submission.Head) []*membership.Member {
 	if x.roster != r {
 		x.roster, x.byKey = r, map[string][]*membership.Member{}
 	}
--- a/pkg/node/state.go
+++ b/pkg/node/state.go
@@ -13,40 +13,45 @@
 )
 
 const (
-	// awayFrom is how long the store must have been unreachable for entries
-	// that are missing afterwards to be kept for returnTime.
-	awayFrom = 700 * time.Millisecond
-	// returnTime is how long entries that lapsed while the store was away take
-	// to come back: about two seconds.
-	returnTime = 2200 * time.Millisecond
-	// orphanPatience is how long a submission whose owner is not among the
-	// members waits before it is adopted: the owner's row may be seen later
-	// than the submission's.
-	orphanPatience = 800 * time.Millisecond
-	// claimPatience is how long an owner that another instance has chosen may
-	// take to claim a submission: it learns of it in some ten milliseconds.
-	claimPatience = 400 * time.Millisecond
-	// successionPeriod is how long each instance in rank has to adopt before
-	// the next may.
-	successionPeriod = 600 * time.Millisecond
-	// adoptPause is the pause before an adoption that failed is tried again.
-	adoptPause = 300 * time.Millisecond
+	// minOutage is how long a table must have been unavailable for its rows to be given
+	// extra time afterwards: missing entries are kept for reregistrationTime, and
+	// members may renew their rows.
+	minOutage = 700 * time.Millisecond
+	// reregistrationTime is how long entries that expired while the store was
+	// unavailable may take to be registered again. Upstreams need about two seconds.
+	reregistrationTime = 2200 * time.Millisecond
+	// orphanDelay is how long a submission whose owner is not among the members waits
+	// before it is taken over, because the row of the owner may be read later than that
+	// of the submission.
+	orphanDelay = 800 * time.Millisecond
+	// claimTimeout is how long the owner that another instance has chosen for a
+	// submission may take to claim it. It learns of the submission in some ten
+	// milliseconds.
+	claimTimeout = 400 * time.Millisecond
+	// successionInterval is how long each instance, in order of rank, may take to take
+	// over a submission before the next one tries.
+	successionInterval = 600 * time.Millisecond
+	// takeoverRetryDelay is the delay before a failed takeover is retried.
+	takeoverRetryDelay = 300 * time.Millisecond
 )
 
-// Events, beside feed.Update.
+// Events of the control state, in addition to feed.Update.
 type (
-	// tick tells the time, and whether other instances follow tables through this one.
+	// tick is sent by the control goroutine every tickPeriod. It starts what has become
+	// due. Relays reports whether other instances follow tables through this one.
 	tick struct {
 		At     time.Time
 		Relays bool
 	}
-	// accepted tells that this instance has accepted a submission.
+	// accepted is sent by Submit when this instance has accepted a submission. The
+	// submission is run here if this instance owns it.
 	accepted struct {
 		submission.HeadRow
 		Spec submission.Spec
 	}
-	// adopted tells the outcome of an adopt.
-	adopted struct {
+	// takenOver is sent by the takeOver effect with its outcome. The submission is run,
+	// or the takeover retried later.
+	takenOver struct {
 		ID        string
 		Owned     submission.HeadRow
 		Spec      submission.Spec
@@ -54,69 +59,69 @@
 		Err       error
 		At        time.Time
 	}
-	// runEnded tells that a submission runs no more here.
+	// runEnded is sent when a submission no longer runs here.
 	runEnded struct {
 		ID   string
-		Head submission.HeadRow // as the run left it, if it knows
+		Head submission.HeadRow // as last written by the run; zero if unknown
 		Err  error
 	}
-	// swept tells the outcome of a sweep.
+	// swept is sent by the sweep effect with its outcome.
 	swept struct {
 		ID  string
 		Err error
 		At  time.Time
 	}
-	// drain tells that the instance is to stop.
+	// drain is sent once, when the instance is told to stop. Its runs are handed over.
 	drain struct{}
 )
 
-// state is the control state of a node.
+// state is the control state of a node. It does no I/O.
 type state struct {
-	name, start string
-	decoder     Decoder
+	name, startID string
+	decoder       Decoder
 
-	members *membership.View
-	ranks   ranks
-	relayed relayedMembers
-	heads   map[string]submission.HeadRow
-	orphans map[string]time.Time // open submissions without a live owner, since when
-	retryAt map[string]time.Time // of adoptions that failed
-	running map[string]bool      // submissions that run here or are being adopted
+	members       *membership.View
+	ownerRankings ownerRankings
+	relayed       relayedMembers
+	heads         map[string]submission.HeadRow
+	orphans       map[string]time.Time // time since which an open submission has had no live owner, by ID
+	retryAt       map[string]time.Time // earliest retry of a failed takeover, by ID
+	running       map[string]bool      // submissions that run here or are being taken over
 
-	entries   map[string]registered
-	missing   map[string]time.Time // entries that are gone, and kept until then
-	graceTill time.Time            // entries that go until then may come back
+	entries    map[string]entryRecord
+	missing    map[string]time.Time // deadline until which a missing entry is kept, by ID
+	graceUntil time.Time            // entries removed before this time may be registered again
 
-	named map[string]uint64  // newest weight version, by model
-	lag   map[string]uint64  // how many versions behind it requests accept, by model
-	work  map[string]float64 // mean of the work of recent submissions, by model
-	dealt map[string]float64 // the work by which engines are dealt to models
+	targetVersions map[string]uint64  // target weight version, by model
+	lag            map[string]uint64  // how many versions behind the target requests accept, by model
+	work           map[string]float64 // mean work of recent submissions, by model
+	assignedWork   map[string]float64 // work by which engines are assigned, by model
 
-	table     *routetable.Table // newest configuration
-	unwritten []AuditRecord     // of the configuration, not in the audit trail
+	table            *routetable.Table // newest configuration
+	unauditedChanges []AuditRecord     // configuration changes not yet in the audit trail
 
-	asked     []weights.Demand // of the models, as last worked out
-	askedAnew bool             // what it is worked out from has changed since
-	undealt   bool             // demands, upstreams or pools have changed since engines were dealt
+	lastDemands      []weights.Demand // demands of the models, as last computed
+	demandsStale     bool             // the inputs of lastDemands have changed since
+	assignmentsStale bool             // demands, upstreams or pools have changed since engines were assigned
 
-	keepFor  time.Duration // how long submissions are kept after their acceptance
-	sweeping bool
-	sweepAt  time.Time // the next sweep, not before
+	retention time.Duration // time from acceptance until a submission is deleted
+	sweeping  bool
+	nextSweep time.Time // earliest time of the next sweep
 
-	read      map[string]bool      // tables that have been read
-	awaySince map[string]time.Time // tables that cannot be read
+	tablesRead       map[string]bool      // tables that have been read
+	unavailableSince map[string]time.Time // start of the outage of each unavailable table
 
 	draining bool
 }
 
-func newState(name, start string, d Decoder, keepFor time.Duration) *state {
-	return &state{name: name, start: start, decoder: d, keepFor: keepFor, members: membership.NewView(),
+func newState(name, startID string, d Decoder, retention time.Duration) *state {
+	return &state{name: name, startID: startID, decoder: d, retention: retention, members: membership.NewView(),
 		heads: map[string]submission.HeadRow{}, orphans: map[string]time.Time{}, retryAt: map[string]time.Time{}, running: map[string]bool{},
-		entries: map[string]registered{}, missing: map[string]time.Time{},
-		named: map[string]uint64{}, lag: map[string]uint64{}, work: map[string]float64{}, dealt: map[string]float64{}, read: map[string]bool{}, awaySince: map[string]time.Time{}}
+		entries: map[string]entryRecord{}, missing: map[string]time.Time{},
+		targetVersions: map[string]uint64{}, lag: map[string]uint64{}, work: map[string]float64{}, assignedWork: map[string]float64{}, tablesRead: map[string]bool{}, unavailableSince: map[string]time.Time{}}
 }
 
-// reduce applies ev and returns what to do.
+// reduce applies ev and returns the effects to execute.
 func (s *state) reduce(ev any) []effect {
 	switch e := ev.(type) {
 	case feed.Update:
@@ -125,8 +130,8 @@
 		return append(s.onTick(e.At), s.relay(e)...)
 	case accepted:
 		return s.onAccepted(e)
-	case adopted:
-		return s.onAdopted(e)
+	case takenOver:
+		return s.onTakenOver(e)
 	case runEnded:
 		return s.onRunEnded(e)
 	case swept:
@@ -139,32 +144,32 @@
 
 func (s *state) onUpdate(u feed.Update) []effect {
 	if u.Err != nil {
-		if _, away := s.awaySince[u.Table]; !away {
-			s.awaySince[u.Table] = u.At
-			return []effect{note{"store lost", []any{"table", u.Table, "err", u.Err}}}
+		if _, ongoing := s.unavailableSince[u.Table]; !ongoing {
+			s.unavailableSince[u.Table] = u.At
+			return []effect{logInfo{"store lost", []any{"table", u.Table, "err", u.Err}}}
 		}
 		return nil
 	}
 	var effs []effect
-	since, wasAway := s.awaySince[u.Table]
-	away := wasAway && u.At.Sub(since) > awayFrom
-	if wasAway {
-		delete(s.awaySince, u.Table)
-		effs = append(effs, note{"store regained", []any{"table", u.Table, "away", u.At.Sub(since)}}, reached{u.At})
+	since, wasUnavailable := s.unavailableSince[u.Table]
+	longOutage := wasUnavailable && u.At.Sub(since) > minOutage
+	if wasUnavailable {
+		delete(s.unavailableSince, u.Table)
+		effs = append(effs, logInfo{"store regained", []any{"table", u.Table, "away", u.At.Sub(since)}}, setReachable{u.At})
 	}
-	s.read[u.Table] = true
+	s.tablesRead[u.Table] = true
 	switch u.Table {
 	case s.decoder.OperatorTable:
 		effs = append(effs, s.onOperator(u)...)
 	case s.decoder.EntriesTable:
-		effs = append(effs, s.onEntries(u, away)...)
+		effs = append(effs, s.onEntries(u, longOutage)...)
 	case membership.Table:
-		effs = append(effs, s.onMembers(u, away, since)...)
+		effs = append(effs, s.onMembers(u, longOutage, since)...)
 	case submission.HeadsTable:
 		effs = append(effs, s.onHeads(u)...)
 	}
-	if s.read[s.decoder.OperatorTable] && s.read[s.decoder.EntriesTable] {
-		effs = append(effs, becomeReady{})
+	if s.tablesRead[s.decoder.OperatorTable] && s.tablesRead[s.decoder.EntriesTable] {
+		effs = append(effs, markReady{})
 	}
 	return effs
 }
@@ -177,52 +182,52 @@
 		}
 		if t, ok, err := s.decoder.Configuration(ch.Row); ok {
 			if err != nil {
-				effs = append(effs, note{"configuration not understood", []any{"row_version", ch.Version, "err", err}})
+				effs = append(effs, logInfo{"configuration not understood", []any{"row_version", ch.Version, "err", err}})
 				continue
 			}
 			if s.table != nil && t.Version <= s.table.Version {
-				continue // never back to an older one
+				continue // versions never decrease
 			}
-			s.undealt = true
-			s.record(t, u.At)
+			s.assignmentsStale = true
+			s.recordChange(t, u.At)
 			effs = append(effs, setTable{t})
-		} else if model, version, ok := s.decoder.TargetVersion(ch.Row); ok && version > s.named[model] {
-			s.named[model], s.askedAnew = version, true
-			effs = append(effs, note{"version named", []any{"model", model, "version", version}}, setNamed{maps.Clone(s.named)})
+		} else if model, version, ok := s.decoder.TargetVersion(ch.Row); ok && version > s.targetVersions[model] {
+			s.targetVersions[model], s.demandsStale = version, true
+			effs = append(effs, logInfo{"version named", []any{"model", model, "version", version}}, setTargetVersions{maps.Clone(s.targetVersions)})
 		}
 	}
 	return effs
 }
 
 func (s *state) onTick(now time.Time) []effect {
-	effs := s.dropMissing(now)
-	if s.read[membership.Table] {
-		effs = append(effs, s.tellMembers(now))
+	effs := s.removeMissing(now)
+	if s.tablesRead[membership.Table] {
+		effs = append(effs, s.publishMembers(now))
 	}
 	if s.draining {
 		return effs
 	}
-	effs = append(effs, s.adopt(now)...)
+	effs = append(effs, s.takeOver(now)...)
 	effs = append(effs, s.sweep(now)...)
 	effs = append(effs, s.audit(now)...)
-	if s.askedAnew {
-		before := s.asked
-		s.asked, s.askedAnew = s.demands(), false
+	if s.demandsStale {
+		before := s.lastDemands
+		s.lastDemands, s.demandsStale = s.demands(), false
 		effs = append(effs, setOpenItems{s.openItems()})
-		s.undealt = s.undealt || !slices.Equal(before, s.asked)
+		s.assignmentsStale = s.assignmentsStale || !slices.Equal(before, s.lastDemands)
 	}
-	if s.undealt {
-		s.undealt = false
-		effs = append(effs, dealEngines{s.asked})
+	if s.assignmentsStale {
+		s.assignmentsStale = false
+		effs = append(effs, assignEngines{s.lastDemands})
 	}
-	return append(effs, planOrders{now, s.asked})
+	return append(effs, planOrders{now, s.lastDemands})
 }
 
-// onDrain hands over what runs here. Its texts go on at another instance where
-// they are, so that to wait for their end would gain nothing.
+// onDrain hands over the submissions that run here. Their texts continue at another
+// instance from where they are, so waiting for them to end would gain nothing.
 func (s *state) onDrain() []effect {
 	s.draining = true
-	effs := []effect{leave{}}
+	effs := []effect{announceDrain{}}
 	for id := range s.running {
 		effs = append(effs, releaseRun{s.heads[id]})
 	}
--- a/pkg/node/sweep.go
+++ b/pkg/node/sweep.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// sweepMargin is added to the time that submissions are kept: instances'
-	// clocks may differ by seconds, and readers be on their way.
+	// sweepMargin is added to the retention time of submissions, because the clocks of
+	// instances may differ by seconds and a reader's request may be in flight.
 	sweepMargin = 30 * time.Second
-	// sweepPause is the time between two sweeps of an instance. Each instance
-	// sweeps those that rank it first, so that all together keep up with any
-	// rate at which submissions are accepted.
+	// sweepPause is the time between two sweeps of an instance. Each instance sweeps
+	// the submissions for which it ranks first, so that all instances together keep up
+	// with any rate of submissions.
 	sweepPause = time.Second
 )
 
-// sweep deletes a submission that is kept no longer, one at a time: the store
-// takes no more objects when it is full.
+// sweep returns the effect that deletes a submission past its retention time, one at a
+// time: a full store accepts no more objects.
 func (s *state) sweep(now time.Time) []effect {
-	if s.keepFor == 0 || s.sweeping || now.Before(s.sweepAt) {
+	if s.retention == 0 || s.sweeping || now.Before(s.nextSweep) {
 		return nil
 	}
 	live := s.members.Roster(now, s.name)
 	for _, o := range s.heads {
-		if o.Open() || s.running[o.ID] || now.Sub(o.AcceptedAt) < s.keepFor+sweepMargin {
+		if o.Open() || s.running[o.ID] || now.Sub(o.AcceptedAt) < s.retention+sweepMargin {
 			continue
 		}
 		if ranked := owners(live.Members, submission.Head{Host: o.ID}); len(ranked) == 0 || ranked[0].Name != s.name {
@@ -34,26 +34,27 @@
 		s.sweeping = true
 		return []effect{sweep{o}}
 	}
-	s.sweepAt = now.Add(sweepPause)
+	s.nextSweep = now.Add(sweepPause)
 	return nil
 }
 
-// onSwept forgets a submission that is gone: swept here, or by another while its
-// history was lost, as the head of one that nobody runs changes no more.
+// onSwept forgets a submission that has been deleted: by this instance, or by another
+// one while the store's history was lost, because the head of a submission that nobody
+// runs does not change otherwise.
 func (s *state) onSwept(e swept) []effect {
 	s.sweeping = false
-	s.sweepAt = e.At.Add(sweepPause)
+	s.nextSweep = e.At.Add(sweepPause)
 	if e.Err == nil || errors.Is(e.Err, submission.ErrNotOwner) {
 		return s.forget(e.ID)
 	}
 	return nil
 }
 
-// forget drops what is known of a submission that has been swept.
+// forget removes the state of a submission that has been deleted.
 func (s *state) forget(id string) []effect {
 	delete(s.heads, id)
-	s.askedAnew = true
+	s.demandsStale = true
 	delete(s.orphans, id)
 	delete(s.retryAt, id)
-	return []effect{dropHead{id}}
+	return []effect{removeHead{id}}
 }
