--- a/pkg/upstream/bench_test.go
+++ b/pkg/upstream/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/zinnialadder/zinnialadder/pkg/upstream"
 )
 
-// large returns a registry of a pool of a thousand engines, of which each has
-// been seen to answer.
-func large(b *testing.B) *upstream.Registry {
+// newLargeRegistry returns a registry with a pool of a thousand engines, each of which
+// has answered a request.
+func newLargeRegistry(b *testing.B) *upstream.Registry {
 	r := upstream.NewRegistry("z1")
 	var es []upstream.Entry
 	for i := range 1000 {
@@ -18,35 +18,35 @@
 	}
 	r.Set(es)
 	for range es {
-		t, ok := r.Acquire(upstream.Requirements{Pool: "p", Model: "m", Now: start()})
+		t, ok := r.Acquire(upstream.Requirements{Pool: "p", Model: "m", Now: baseTime()})
 		if !ok {
-			b.Fatal("no room")
+			b.Fatal("Acquire found no usable upstream")
 		}
-		defer t.Done(upstream.AttemptResult{At: start(), TimePerUnit: time.Millisecond})
+		defer t.Done(upstream.AttemptResult{At: baseTime(), TimePerUnit: time.Millisecond})
 	}
 	return r
 }
 
-// BenchmarkAcquire chooses one of a thousand engines for a request.
+// BenchmarkAcquire measures choosing one of a thousand engines for a request.
 func BenchmarkAcquire(b *testing.B) {
-	r := large(b)
+	r := newLargeRegistry(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		t, ok := r.Acquire(upstream.Requirements{Pool: "p", Model: "m", MinVersion: 3, Affinity: "prompt", Now: start()})
+		t, ok := r.Acquire(upstream.Requirements{Pool: "p", Model: "m", MinVersion: 3, Affinity: "prompt", Now: baseTime()})
 		if !ok {
-			b.Fatal("no room")
+			b.Fatal("Acquire found no usable upstream")
 		}
-		t.Done(upstream.AttemptResult{At: start(), TimePerUnit: time.Millisecond})
+		t.Done(upstream.AttemptResult{At: baseTime(), TimePerUnit: time.Millisecond})
 	}
 }
 
-// BenchmarkEntries lists a thousand engines with their versions.
+// BenchmarkEntries measures listing a thousand engines with their versions.
 func BenchmarkEntries(b *testing.B) {
-	r := large(b)
+	r := newLargeRegistry(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		if len(r.Entries("p")) != 1000 {
-			b.Fatal("entries are missing")
+			b.Fatal("Entries did not return all 1000 engines")
 		}
 	}
 }
--- a/pkg/upstream/changes_test.go
+++ b/pkg/upstream/changes_test.go
@@ -15,11 +15,11 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m, 1000) }
 
-// allocated returns how many bytes f allocates in the mean of some calls.
+// allocated returns the mean number of bytes that a call of f allocates.
 func allocated(f func(i int)) float64 {
 	const calls = 50
 	var before, after runtime.MemStats
-	f(0) // what is made once
+	f(0) // allocations made only once
 	runtime.ReadMemStats(&before)
 	for i := range calls {
 		f(i + 1)
@@ -37,9 +37,9 @@
 	return es
 }
 
-// A change of an entry costs the same among a thousand upstreams and among ten thousand,
-// and so does a request for a model that is dealt some of them.
-func TestCostGrowsWithChangesAndParts(t *testing.T) {
+// A change of an entry must cost the same among 1,000 upstreams as among 10,000, and so
+// must a request for a model that is assigned some of them.
+func TestCostIndependentOfUpstreamCount(t *testing.T) {
 	change, request := map[int]float64{}, map[int]float64{}
 	for _, n := range []int{1000, 10_000} {
 		r := upstream.NewRegistry("z1")
@@ -56,27 +56,27 @@
 		}
 		r.SetAssignments(map[string][]string{"m": part})
 		request[n] = allocated(func(int) {
-			ticket, ok := r.Acquire(upstream.Requirements{Pool: "p", Model: "m", MinVersion: 3, Now: start()})
+			res, ok := r.Acquire(upstream.Requirements{Pool: "p", Model: "m", MinVersion: 3, Now: baseTime()})
 			if !ok {
-				t.Fatal("no room")
+				t.Fatal("Acquire found no usable upstream")
 			}
-			ticket.Done(upstream.AttemptResult{At: start(), TimePerUnit: time.Millisecond})
+			res.Done(upstream.AttemptResult{At: baseTime(), TimePerUnit: time.Millisecond})
 		})
 	}
-	t.Logf("bytes allocated: a change %v, a request %v", change, request)
+	t.Logf("bytes allocated, by number of upstreams: per change %v, per request %v", change, request)
 	for what, by := range map[string]map[int]float64{"a change": change, "a request": request} {
 		if by[10_000] > 1.5*by[1000]+100 {
-			t.Errorf("%s takes %.0f bytes among 1,000 upstreams and %.0f among 10,000", what, by[1000], by[10_000])
+			t.Errorf("%s allocates %.0f bytes among 1,000 upstreams and %.0f among 10,000, want about as many", what, by[1000], by[10_000])
 		}
 	}
 }
 
-// Whatever becomes of entries, a registry that takes the changes tells the same as one
-// that is given all entries anew.
-func TestChangesTellWhatAllEntriesWould(t *testing.T) {
+// A registry to which changes are applied must hold the same as one that is given all
+// entries anew, for any sequence of changes.
+func TestApplyMatchesSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		changed, set := upstream.NewRegistry("z1"), upstream.NewRegistry("z1")
-		there := map[string]upstream.Entry{}
+		updated, replaced := upstream.NewRegistry("z1"), upstream.NewRegistry("z1")
+		current := map[string]upstream.Entry{}
 		for range rapid.IntRange(1, 30).Draw(t, "updates") {
 			var c upstream.Changes
 			for range rapid.IntRange(1, 4).Draw(t, "changes") {
@@ -85,26 +85,26 @@
 				if rapid.Bool().Draw(t, "gone") {
 					c.Removed = append(c.Removed, e.ID)
 					c.Updated = slices.DeleteFunc(c.Updated, func(p *upstream.Entry) bool { return p.ID == e.ID })
-					delete(there, e.ID)
+					delete(current, e.ID)
 					continue
 				}
 				c.Removed = slices.DeleteFunc(c.Removed, func(id string) bool { return id == e.ID })
 				c.Updated = append(c.Updated, &e)
-				there[e.ID] = e
+				current[e.ID] = e
 			}
-			changed.Apply(c)
+			updated.Apply(c)
 			var all []upstream.Entry
-			for _, e := range there {
+			for _, e := range current {
 				all = append(all, e)
 			}
-			set.Set(all)
+			replaced.Set(all)
 			for _, pool := range []string{"p", "q"} {
-				if a, b := fmt.Sprint(changed.Entries(pool)), fmt.Sprint(set.Entries(pool)); a != b {
-					t.Fatalf("by changes %s, by all entries %s", a, b)
+				if a, b := fmt.Sprint(updated.Entries(pool)), fmt.Sprint(replaced.Entries(pool)); a != b {
+					t.Fatalf("Entries after Apply = %s, after Set = %s", a, b)
 				}
-				ids, slots := changed.NonDraining(pool)
-				if want, n := set.NonDraining(pool); !slices.Equal(ids, want) || slots != n {
-					t.Fatalf("staying by changes %v with %d slots, by all entries %v with %d", ids, slots, want, n)
+				ids, slots := updated.NonDraining(pool)
+				if want, n := replaced.NonDraining(pool); !slices.Equal(ids, want) || slots != n {
+					t.Fatalf("NonDraining after Apply = %v, %d, after Set = %v, %d", ids, slots, want, n)
 				}
 			}
 		}
--- a/pkg/upstream/choose.go
+++ b/pkg/upstream/choose.go
@@ -7,78 +7,81 @@
 )
 
 const (
-	// farPenalty is how much more loaded, as a part of its slots, an upstream
-	// of another data centre counts: bytes between data centres are paid for,
-	// and the way there and back takes a few milliseconds.
-	farPenalty = 0.1
-	// affinitySlack is how much more loaded, as a part of its slots, an
-	// upstream may be and still be chosen for the prompt that it has read.
+	// remotePenalty is added to the load, as a fraction of its slots, of an upstream in
+	// another data centre: traffic between data centres is billed, and its round trip
+	// takes a few milliseconds longer.
+	remotePenalty = 0.1
+	// affinitySlack is how much more loaded, as a fraction of its slots, an upstream
+	// may be and still be preferred because it has processed the request's prompt
+	// before.
 	affinitySlack = 0.4
 )
 
-// Requirements says what a request needs of an upstream.
+// Requirements states what a request requires of its upstream.
 type Requirements struct {
 	Pool    string
 	Now     time.Time
-	Exclude []string // upstreams that are not to be chosen
+	Exclude []string // IDs of upstreams that must not be chosen
 
-	// Model and MinVersion bound the weight version; an empty Model does not.
+	// Model and MinVersion restrict the weight version: the upstream must hold
+	// MinVersion of Model or a newer one. An empty Model means no restriction.
 	Model      string
 	MinVersion uint64
 
-	// Outdated asks for an upstream whose version is believed to be older than
-	// MinVersion, to find out whether it still is.
+	// Outdated requests an upstream whose version is believed to be older than
+	// MinVersion, to check whether it still is.
 	Outdated bool
 
-	// Affinity names what requests share, such as a prompt; empty for none.
+	// Affinity identifies what requests share, such as a prompt. It is empty for none.
 	Affinity string
-	// NeedFreeSlot means that the request waits rather than be sent to an upstream
-	// at which all slots are taken by this process's own requests.
+	// NeedFreeSlot excludes upstreams whose slots are all taken by this process's own
+	// requests, so that the request waits instead.
 	NeedFreeSlot bool
 }
 
-// Candidate is an upstream that may take a request.
+// Candidate is an upstream that may be chosen for a request.
 type Candidate struct {
 	ID       string
-	Load     int // requests it is believed to hold, this process's own included
-	InFlight int // this process's own
+	Load     int // estimated requests at the upstream, including this process's own
+	InFlight int // requests sent by this process
 	Slots    int
-	Slowness float64 // times the usual time that it takes, at least 1
-	Local    bool    // in this instance's data centre
+	Slowness float64 // ratio of its time per unit of work to the usual one, at least 1
+	Local    bool    // in the same data centre as this instance
 }
 
-// Choose returns the index of the candidate for a request, or -1 if none may
-// take it: the one where it is expected to be served soonest, counting load
-// against slots and how slow the upstream has been, and among those about
-// equal the one that the affinity ranks first. It answers the load of a batch
-// whose items all start at once, which spreads evenly over the upstreams, and
-// of upstreams that have turned slow, which get what finds no slot elsewhere.
-func Choose(cands []Candidate, w Requirements) int {
-	scored := make([]route.Candidate, 0, len(cands))
-	index := make([]int, 0, len(cands))
-	for i, c := range cands {
-		if w.NeedFreeSlot && float64(c.InFlight) >= float64(c.Slots)/max(c.Slowness, 1) {
-			continue // a slow one is given what it serves in the usual time
+// Choose returns the index of the candidate for a request, or -1 if there is none. It
+// prefers the candidate that is expected to serve the request soonest, judging by load
+// relative to slots and by slowness. Among those about equal it takes the one that
+// rendezvous hashing ranks first for the affinity.
+//
+// This spreads a batch whose items all start at once evenly over the upstreams, and
+// gives upstreams that have become slow only what finds no slot elsewhere.
+func Choose(candidates []Candidate, req Requirements) int {
+	scored := make([]route.Candidate, 0, len(candidates))
+	index := make([]int, 0, len(candidates))
+	for i, c := range candidates {
+		if req.NeedFreeSlot && float64(c.InFlight) >= float64(c.Slots)/max(c.Slowness, 1) {
+			continue // a slow upstream gets only as many requests as it serves in the usual time
 		}
 		load := cost(c)
 		if !c.Local {
-			load += farPenalty
+			load += remotePenalty
 		}
 		scored = append(scored, route.Candidate{Key: c.ID, Load: load})
 		index = append(index, i)
 	}
-	best := route.Policy{Slack: affinitySlack}.Pick(scored, w.Affinity)
+	best := route.Policy{Slack: affinitySlack}.Pick(scored, req.Affinity)
 	if best < 0 {
 		return -1
 	}
 	return index[best]
 }
 
-// cost orders candidates by when they are expected to have served one more
-// request. While slots are free an upstream takes about the same time whatever
-// its load, so that a slow one with free slots comes after every other that has
-// one: of nine engines two of which took 3.2 times as long, texts that left one of
-// them went back to it in the next moment, 209 times in a day.
+// cost estimates when a candidate will have served one more request. While an upstream
+// has free slots its time per request hardly depends on its load, so a slow upstream
+// with free slots must rank after every other upstream that has one. Without that rule,
+// with two of nine engines 3.2 times slower, texts moved away from a slow engine were
+// sent back to it immediately, 209 times in a day.
 func cost(c Candidate) float64 {
 	load, slowness := float64(c.Load+1)/float64(c.Slots), max(c.Slowness, 1)
 	return load*slowness + (slowness-1)*max(load, 1)
--- a/pkg/upstream/entry.go
+++ b/pkg/upstream/entry.go
@@ -1,5 +1,5 @@
-// Package upstream keeps what an instance knows of the upstreams that it may
-// send requests to, and chooses among them.
+// Package upstream tracks the upstreams that an instance may send requests to, and
+// chooses among them.
 package upstream
 
 import (
@@ -7,59 +7,61 @@
 	"time"
 )
 
-// Entry is what an upstream has registered of itself.
+// Entry is the registration of an upstream, as the upstream wrote it.
 type Entry struct {
-	ID         string // one for each start, unless the upstream starts again under it; see Born
-	Born       int64  // Unix millisecond of its start; 0 if not told
+	ID         string // unique for each process of an upstream, unless it restarts under the same ID; see Born
+	Born       int64  // start of the process, in Unix milliseconds; 0 if unknown
 	Pool       string
 	Address    string // IP:port
 	DataCentre string
-	Slots      int // requests that it serves at once
+	Slots      int // requests served concurrently
 	Draining   bool
-	// Spot means that it may be taken back at short notice.
+	// Spot means that the machine may be reclaimed at short notice.
 	Spot bool
-	// Versions are the weight versions that it holds, by model; empty for a
-	// plain service.
+	// Versions are the weight versions that the upstream holds, by model. It is empty
+	// for a plain service.
 	Versions map[string]uint64
 }
 
-// SameProcess reports whether e and o are of the same start of an upstream: what
-// is known of one holds for the other.
+// SameProcess reports whether e and o describe the same process of an upstream, so that
+// what is known of one applies to the other.
 func (e Entry) SameProcess(o Entry) bool {
 	return e.ID == o.ID && e.Born == o.Born && e.Address == o.Address && e.Pool == o.Pool
 }
 
-// Equal reports whether e and o tell the same.
+// Equal reports whether all fields of e and o are equal.
 func (e Entry) Equal(o Entry) bool {
 	return e.SameProcess(o) && e.DataCentre == o.DataCentre && e.Slots == o.Slots && e.Draining == o.Draining && e.Spot == o.Spot && maps.Equal(e.Versions, o.Versions)
 }
 
-// Load is what an upstream told of its load with an answer.
+// Load is the load that an upstream sent with a response.
 type Load struct {
 	Running, Queued int
 	Slots           int
 }
 
-// AttemptResult tells a Registry how an attempt at an upstream went.
+// AttemptResult is the outcome of an attempt at an upstream.
 type AttemptResult struct {
 	At   time.Time
-	Load *Load // nil if the upstream told none
+	Load *Load // nil if the upstream sent none
 
-	// Failed means that the upstream gave no usable answer.
+	// Failed means that the upstream gave no usable response.
 	Failed bool
-	// Unreachable means that it took no connection.
+	// Unreachable means that the upstream accepted no connection.
 	Unreachable bool
-	// AddressReused means that another upstream has its address now.
+	// AddressReused means that another upstream has the address now.
 	AddressReused bool
-	// Busy means that it had no room, and is left alone until BusyUntil.
+	// Busy means that the upstream had no free slot. It gets no requests until
+	// BusyUntil.
 	Busy      bool
 	BusyUntil time.Time
 
-	// VersionRefused means that it turned the request away for its weight version.
+	// VersionRefused means that the upstream refused the request because of its weight
+	// version.
 	VersionRefused bool
 
-	// TimePerUnit is the time that it took for a unit of work, 0 if not measured.
+	// TimePerUnit is the time the upstream took for a unit of work, 0 if not measured.
 	TimePerUnit time.Duration
-	// Versions are weight versions that its answer showed, by model.
+	// Versions are the weight versions that the response showed, by model.
 	Versions map[string]uint64
 }
--- a/pkg/upstream/registry.go
+++ b/pkg/upstream/registry.go
@@ -11,112 +11,115 @@
 )
 
 const (
-	// loadBelief is how long the load that an upstream told is believed. It
-	// changes with each request, tens of them a second.
-	loadBelief = 500 * time.Millisecond
-	// askAgainAfter is how soon an upstream is asked again whether its weights
-	// are new enough; it takes a round trip of a millisecond or two.
-	askAgainAfter = 100 * time.Millisecond
-	// askWithin is how many versions too old an upstream may be believed to be
-	// and still be asked: one that is moved from version to version is no further
-	// behind.
-	askWithin = 2
-	// firstEjection is how long an upstream that failed is left alone; short,
-	// as the platform removes crashed ones after three of its heartbeats and
+	// loadMaxAge is how long the load that an upstream sent is used. The load changes
+	// with each request, tens of times a second.
+	loadMaxAge = 500 * time.Millisecond
+	// recheckInterval is the minimum time between two checks whether the weights of an
+	// upstream have become new enough. A check takes a round trip of a millisecond or
+	// two.
+	recheckInterval = 100 * time.Millisecond
+	// maxRecheckLag is the largest number of versions below the required one at which
+	// an upstream is still checked: an engine that loads one version after another is
+	// never further behind.
+	maxRecheckLag = 2
+	// firstEjection is how long an upstream that failed is first ejected. It is short
+	// because the platform removes crashed upstreams after three missed heartbeats, and
 	// others recover within seconds.
 	firstEjection = 400 * time.Millisecond
-	// maxEjection bounds the doubling of firstEjection, so that an upstream
-	// that has recovered is used again within a second or two.
+	// maxEjection limits the doubling of firstEjection, so that an upstream that has
+	// recovered is used again within a second or two.
 	maxEjection = 2 * time.Second
 )
 
-// Registry knows the upstreams of all pools. It is safe for concurrent use.
+// Registry holds the upstreams of all pools. It is safe for concurrent use.
 type Registry struct {
 	dataCentre string
 	health     *health.Tracker
-	paces      *health.TokenTimes
+	tokenTimes *health.TokenTimes
 
-	mu    sync.Mutex
-	byID  map[string]*known
-	pools map[string]*pool
-	parts map[string]*part // by model
+	mu          sync.Mutex
+	byID        map[string]*upstreamState
+	pools       map[string]*pool
+	assignments map[string]*assignment // by model
 }
 
-// pool is the upstreams of one pool.
+// pool holds the upstreams of one pool.
 type pool struct {
-	members []*known        // in order of ID
-	paced   map[string]bool // IDs of those of which a pace has been observed
-	staying *staying        // nil if it is to be worked out
+	members     []*upstreamState // sorted by ID
+	measured    map[string]bool  // IDs of members whose time per unit has been measured
+	nonDraining *nonDraining     // nil if it must be recomputed
 }
 
-// staying is the upstreams of a pool that do not leave.
-type staying struct {
-	ids   []string // in order
-	slots int      // of all
+// nonDraining holds the upstreams of a pool that do not drain.
+type nonDraining struct {
+	ids   []string // sorted
+	slots int      // total of all
 }
 
-// part is the upstreams that a model is dealt.
-type part struct {
+// assignment holds the upstreams assigned to a model.
+type assignment struct {
 	ids     []string
-	members []*known // of ids, those that there are; nil if they are to be looked up
+	members []*upstreamState // registered upstreams among ids; nil if they must be looked up
 }
 
-// Changes are what became of upstreams' entries.
+// Changes are changes to the entries of upstreams.
 type Changes struct {
-	Updated []*Entry // new, or changed; not changed any more
+	Updated []*Entry // new or changed entries; must not be modified afterwards
 	Removed []string // IDs
-	// Reset means that Put holds all entries.
+	// Reset means that Updated holds all entries.
 	Reset bool
 }
 
-// known is one upstream. Of the thousands of a large site an instance uses a few, and
-// has nothing to keep of the others.
-type known struct {
-	*Entry        // not changed; shared with who told it
-	use    *usage // nil while nothing has been sent to it
+// upstreamState is the state of one upstream. An instance uses a few of the thousands
+// of upstreams of a large site, so local state is allocated only for those.
+type upstreamState struct {
+	*Entry             // never modified; shared with the caller of Apply
+	local  *localState // nil until a request is sent to it
 }
 
-// usage is what an instance knows of an upstream that it has sent requests to.
-type usage struct {
-	inFlight  int // of this process
-	others    int // requests of others, when last told
-	othersAt  time.Time
-	busyUntil time.Time
-	doubted   bool      // it had no room when last asked, and is asked by one request at a time
-	asking    bool      // such a request is under way
-	askedAt   time.Time // whether it still holds an old version
-	gone      bool      // another upstream has its address
-	// confirmed are the versions that answers have shown, by model.
-	confirmed map[string]uint64
+// localState is what this instance has learned about an upstream by sending requests to
+// it.
+type localState struct {
+	inFlight         int // requests of this process
+	otherLoad        int // requests of other senders, by the last load received
+	otherLoadAt      time.Time
+	busyUntil        time.Time
+	singleRequest    bool      // had no free slot at the last attempt, so gets one request at a time
+	singleInFlight   bool      // such a request is in flight
+	versionCheckedAt time.Time // last check whether it still holds an old version
+	addressReused    bool      // another upstream has the address
+	// observedVersions are the weight versions that responses have shown, by model.
+	observedVersions map[string]uint64
 }
 
-// unused is the usage of upstreams that nothing has been sent to. It is not changed.
-var unused usage
+// zeroLocalState is the local state of upstreams that nothing has been sent to. It is
+// never modified.
+var zeroLocalState localState
 
-// seen returns what is known of k, not to be changed.
-func (k *known) seen() *usage {
-	if k.use == nil {
-		return &unused
+// localOrZero returns k's local state for reading.
+func (k *upstreamState) localOrZero() *localState {
+	if k.local == nil {
+		return &zeroLocalState
 	}
-	return k.use
+	return k.local
 }
 
-// used returns what is known of k, to be changed.
-func (k *known) used() *usage {
-	if k.use == nil {
-		k.use = &usage{}
+// ensureLocal returns k's local state for writing, allocating it if needed.
+func (k *upstreamState) ensureLocal() *localState {
+	if k.local == nil {
+		k.local = &localState{}
 	}
-	return k.use
+	return k.local
 }
 
-// NewRegistry returns an empty Registry of an instance in dataCentre.
+// NewRegistry returns an empty Registry for an instance in dataCentre.
 func NewRegistry(dataCentre string) *Registry {
-	return &Registry{dataCentre: dataCentre, byID: map[string]*known{}, pools: map[string]*pool{},
-		health: health.NewTracker(health.Config{FailureThreshold: 2, EjectionTime: firstEjection, MaxEjectionTime: maxEjection}),
-		paces:  health.NewTokenTimes(0)}
+	return &Registry{dataCentre: dataCentre, byID: map[string]*upstreamState{}, pools: map[string]*pool{},
+		health:     health.NewTracker(health.Config{FailureThreshold: 2, EjectionTime: firstEjection, MaxEjectionTime: maxEjection}),
+		tokenTimes: health.NewTokenTimes(0)}
 }
 
-// Set replaces the upstreams by entries.
+// Set replaces all upstreams by entries.
 func (r *Registry) Set(entries []Entry) {
 	c := Changes{Reset: true}
 	for _, e := range entries {
@@ -125,14 +128,14 @@
 	r.Apply(c)
 }
 
-// Apply takes up changes of entries, at a cost that grows with them and not with
-// the upstreams that there are. What is known of one that has started again under its
-// ID is forgotten.
+// Apply applies changes of entries, at a cost proportional to the changes and not to
+// the number of upstreams. It discards the state of an upstream that has restarted
+// under the same ID.
 func (r *Registry) Apply(c Changes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.Reset {
-		r.keepOnly(c.Updated)
+		r.removeAllExcept(c.Updated)
 	}
 	for _, id := range c.Removed {
 		r.remove(id)
@@ -142,8 +145,8 @@
 	}
 }
 
-// keepOnly removes the upstreams that are not among entries.
-func (r *Registry) keepOnly(entries []*Entry) {
+// removeAllExcept removes the upstreams that are not in entries.
+func (r *Registry) removeAllExcept(entries []*Entry) {
 	kept := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		kept[e.ID] = true
@@ -159,24 +162,24 @@
 	k := r.byID[e.ID]
 	if k != nil && k.SameProcess(*e) {
 		if k.Draining != e.Draining || k.Slots != e.Slots {
-			r.pools[e.Pool].staying = nil
+			r.pools[e.Pool].nonDraining = nil
 		}
 		k.Entry = e
 		return
 	}
 	r.remove(e.ID)
 	r.health.RecordSuccess(e.ID)
-	k = &known{Entry: e}
+	k = &upstreamState{Entry: e}
 	r.byID[e.ID] = k
 	p := r.pools[e.Pool]
 	if p == nil {
-		p = &pool{paced: map[string]bool{}}
+		p = &pool{measured: map[string]bool{}}
 		r.pools[e.Pool] = p
 	}
 	i, _ := p.find(e.ID)
 	p.members = slices.Insert(p.members, i, k)
-	p.staying = nil
-	r.forgetMembers()
+	p.nonDraining = nil
+	r.invalidateAssignments()
 }
 
 func (r *Registry) remove(id string) {
@@ -189,54 +192,56 @@
 	if i, found := p.find(id); found {
 		p.members = slices.Delete(p.members, i, i+1)
 	}
-	p.staying = nil
-	delete(p.paced, id)
+	p.nonDraining = nil
+	delete(p.measured, id)
 	if len(p.members) == 0 {
 		delete(r.pools, k.Pool)
 	}
-	r.forgetMembers()
+	r.invalidateAssignments()
 }
 
-// find returns where the upstream with an ID stands among p's members, or would.
+// find returns the index of the upstream with the ID in p.members, or where it would be
+// inserted, and whether it is there.
 func (p *pool) find(id string) (int, bool) {
-	return slices.BinarySearchFunc(p.members, id, func(k *known, id string) int { return strings.Compare(k.ID, id) })
+	return slices.BinarySearchFunc(p.members, id, func(k *upstreamState, id string) int { return strings.Compare(k.ID, id) })
 }
 
 // members returns the upstreams of a pool.
-func (r *Registry) members(name string) []*known {
+func (r *Registry) members(name string) []*upstreamState {
 	if p := r.pools[name]; p != nil {
 		return p.members
 	}
 	return nil
 }
 
-// forgetMembers has the members of parts looked up again.
-func (r *Registry) forgetMembers() {
-	for _, p := range r.parts {
+// invalidateAssignments has the members of all assignments looked up again when next
+// needed.
+func (r *Registry) invalidateAssignments() {
+	for _, p := range r.assignments {
 		p.members = nil
 	}
 }
 
-// SetAssignments tells which upstreams each model is dealt, by ID. Requests for a model
-// go to its own as long as one of them may take requests at all, so that the
+// SetAssignments sets the IDs of the upstreams assigned to each model. Requests for a
+// model go to its assigned upstreams as long as one of them is usable, so that the
 // instances that run a model's requests keep connections to few upstreams.
 func (r *Registry) SetAssignments(parts map[string][]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.parts = make(map[string]*part, len(parts))
+	r.assignments = make(map[string]*assignment, len(parts))
 	for model, ids := range parts {
-		r.parts[model] = &part{ids: ids}
+		r.assignments[model] = &assignment{ids: ids}
 	}
 }
 
-// dealt returns the upstreams of a pool that a model is dealt.
-func (r *Registry) dealt(model, pool string) []*known {
-	p := r.parts[model]
+// assigned returns the upstreams of a pool that are assigned to a model.
+func (r *Registry) assigned(model, pool string) []*upstreamState {
+	p := r.assignments[model]
 	if p == nil {
 		return nil
 	}
 	if p.members == nil {
-		p.members = make([]*known, 0, len(p.ids))
+		p.members = make([]*upstreamState, 0, len(p.ids))
 		for _, id := range p.ids {
 			if k := r.byID[id]; k != nil && k.Pool == pool {
 				p.members = append(p.members, k)
@@ -246,8 +251,8 @@
 	return p.members
 }
 
-// Entries returns the upstreams of a pool, in order of ID, with the weight
-// versions that answers have shown since they told them.
+// Entries returns the upstreams of a pool, sorted by ID. Their weight versions include
+// those that responses have shown since the upstreams registered.
 func (r *Registry) Entries(pool string) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -259,7 +264,7 @@
 	return out
 }
 
-// Entry returns the upstream with an ID, if it is known.
+// Entry returns the upstream with the ID, and whether it is registered.
 func (r *Registry) Entry(id string) (Entry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -270,8 +275,8 @@
 	return k.entry(), true
 }
 
-// NonDraining returns the IDs of a pool's upstreams that do not leave, in order, and
-// how many requests they serve at once together. The IDs are not to be changed.
+// NonDraining returns the IDs, sorted, of a pool's upstreams that do not drain, and
+// their total number of slots. The caller must not modify the IDs.
 func (r *Registry) NonDraining(pool string) (ids []string, slots int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -279,35 +284,35 @@
 	if p == nil {
 		return nil, 0
 	}
-	if p.staying == nil {
-		p.staying = &staying{}
+	if p.nonDraining == nil {
+		p.nonDraining = &nonDraining{}
 		for _, k := range p.members {
 			if !k.Draining {
-				p.staying.ids = append(p.staying.ids, k.ID)
-				p.staying.slots += k.Slots
+				p.nonDraining.ids = append(p.nonDraining.ids, k.ID)
+				p.nonDraining.slots += k.Slots
 			}
 		}
 	}
-	return p.staying.ids, p.staying.slots
+	return p.nonDraining.ids, p.nonDraining.slots
 }
 
-// entry returns k's entry with the weight versions that answers have shown since.
-func (k *known) entry() Entry {
+// entry returns k's entry with the weight versions that responses have shown since.
+func (k *upstreamState) entry() Entry {
 	e := *k.Entry
 	e.Versions = k.versions()
 	return e
 }
 
 // version returns the newest version of a model that k is known to hold.
-func (k *known) version(model string) uint64 {
-	return max(k.Versions[model], k.seen().confirmed[model])
+func (k *upstreamState) version(model string) uint64 {
+	return max(k.Versions[model], k.localOrZero().observedVersions[model])
 }
 
-// versions returns the newest weight versions that k is known to hold. The map
-// may be the entry's own, which nobody changes.
-func (k *known) versions() map[string]uint64 {
+// versions returns the newest weight versions that k is known to hold. The map may be
+// the entry's own, which is never modified.
+func (k *upstreamState) versions() map[string]uint64 {
 	var newer map[string]uint64
-	for m, n := range k.seen().confirmed {
+	for m, n := range k.localOrZero().observedVersions {
 		if n <= k.Versions[m] {
 			continue
 		}
@@ -323,183 +328,185 @@
 	return k.Versions
 }
 
-// Reservation is one request's place at an upstream. Its holder calls Done once.
+// Reservation is one request's place at an upstream. Its holder calls Done or Release,
+// once.
 type Reservation struct {
 	Entry
 	registry *Registry
-	known    *known
+	state    *upstreamState
 }
 
-// Acquire chooses an upstream for a request and counts it there. It reports
-// false if no upstream may take it now.
-func (r *Registry) Acquire(w Requirements) (*Reservation, bool) {
+// Acquire chooses an upstream for a request and counts the request there. It reports
+// false if no upstream is usable now.
+func (r *Registry) Acquire(req Requirements) (*Reservation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ks := r.usablePart(w)
-	i := Choose(r.candidates(ks, w), w)
+	ks := r.usableFor(req)
+	i := Choose(r.candidates(ks, req), req)
 	if i < 0 {
 		return nil, false
 	}
 	k := ks[i]
-	u := k.used()
+	u := k.ensureLocal()
 	u.inFlight++
-	u.asking = u.doubted
-	if w.Outdated {
-		u.askedAt = w.Now
+	u.singleInFlight = u.singleRequest
+	if req.Outdated {
+		u.versionCheckedAt = req.Now
 	}
-	r.health.RecordAttempt(k.ID, w.Now)
-	return &Reservation{Entry: k.entry(), registry: r, known: k}, true
+	r.health.RecordAttempt(k.ID, req.Now)
+	return &Reservation{Entry: k.entry(), registry: r, state: k}, true
 }
 
-// usablePart returns the upstreams that may take a request: of those that its
-// model is dealt if there are any.
-func (r *Registry) usablePart(w Requirements) []*known {
-	dealt := r.parts[w.Model] != nil && len(r.parts[w.Model].ids) > 0
-	if !dealt {
-		return r.usableOf(w, r.members(w.Pool))
+// usableFor returns the upstreams that may take a request: those assigned to its model
+// if any of them is usable.
+func (r *Registry) usableFor(req Requirements) []*upstreamState {
+	hasAssigned := r.assignments[req.Model] != nil && len(r.assignments[req.Model].ids) > 0
+	if !hasAssigned {
+		return r.filterUsable(req, r.members(req.Pool))
 	}
-	own := r.usableOf(w, r.dealt(w.Model, w.Pool))
-	if len(own) > 0 || w.Outdated {
-		return own // others are not moved to the model's versions
+	usable := r.filterUsable(req, r.assigned(req.Model, req.Pool))
+	if len(usable) > 0 || req.Outdated {
+		return usable // upstreams of other models do not load this model's versions
 	}
-	return r.usableOf(w, r.members(w.Pool))
+	return r.filterUsable(req, r.members(req.Pool))
 }
 
-// usableOf returns those of ks that may take a request.
-func (r *Registry) usableOf(w Requirements, ks []*known) []*known {
-	out := make([]*known, 0, len(ks))
+// filterUsable returns the upstreams among ks that may take a request.
+func (r *Registry) filterUsable(req Requirements, ks []*upstreamState) []*upstreamState {
+	out := make([]*upstreamState, 0, len(ks))
 	for _, k := range ks {
-		if r.usable(k, w) {
+		if r.usable(k, req) {
 			out = append(out, k)
 		}
 	}
 	return out
 }
 
-// candidates returns what Choose is to know of ks, which are of w's pool.
-func (r *Registry) candidates(ks []*known, w Requirements) []Candidate {
-	slowness := r.slowness(w.Pool, w.Now)
+// candidates converts ks, which are in req's pool, to the input of Choose.
+func (r *Registry) candidates(ks []*upstreamState, req Requirements) []Candidate {
+	slowness := r.slowness(req.Pool, req.Now)
 	out := make([]Candidate, 0, len(ks))
 	for _, k := range ks {
-		out = append(out, Candidate{ID: k.ID, Load: k.load(w.Now), InFlight: k.seen().inFlight, Slots: max(k.Slots, 1),
+		out = append(out, Candidate{ID: k.ID, Load: k.load(req.Now), InFlight: k.localOrZero().inFlight, Slots: max(k.Slots, 1),
 			Slowness: max(slowness[k.ID], 1), Local: k.DataCentre == r.dataCentre})
 	}
 	return out
 }
 
-// slowness returns, by ID, how many times the usual time the upstreams of a pool
-// take, of those that take longer. All whose pace is known are compared, so that those
-// that may take a request are not taken for usual when all of them are slow.
+// slowness returns, by ID, the ratio of an upstream's time per unit of work to the
+// usual one in its pool, for upstreams that take longer than usual. All measured
+// upstreams of the pool are compared, so that slow ones do not count as usual when all
+// usable ones are slow.
 func (r *Registry) slowness(pool string, now time.Time) map[string]float64 {
 	p := r.pools[pool]
-	if p == nil || len(p.paced) == 0 {
+	if p == nil || len(p.measured) == 0 {
 		return nil
 	}
-	ids := make([]string, 0, len(p.paced))
-	for id := range p.paced {
+	ids := make([]string, 0, len(p.measured))
+	for id := range p.measured {
 		ids = append(ids, id)
 	}
 	out := map[string]float64{}
-	for i, times := range r.paces.Slowness(ids, now) {
-		if times > 1 {
-			out[ids[i]] = times
+	for i, factor := range r.tokenTimes.Slowness(ids, now) {
+		if factor > 1 {
+			out[ids[i]] = factor
 		}
 	}
 	return out
 }
 
-func (r *Registry) usable(k *known, w Requirements) bool {
-	u := k.seen()
+func (r *Registry) usable(k *upstreamState, req Requirements) bool {
+	u := k.localOrZero()
 	switch {
-	case k.Draining, u.gone, u.asking, w.Now.Before(u.busyUntil), slices.Contains(w.Exclude, k.ID), !r.health.Usable(k.ID, w.Now):
+	case k.Draining, u.addressReused, u.singleInFlight, req.Now.Before(u.busyUntil), slices.Contains(req.Exclude, k.ID), !r.health.Usable(k.ID, req.Now):
 		return false
-	case w.Model == "":
+	case req.Model == "":
 		return true
-	case w.Outdated:
-		v := k.version(w.Model)
-		return v < w.MinVersion && v+askWithin >= w.MinVersion && w.Now.Sub(u.askedAt) >= askAgainAfter
+	case req.Outdated:
+		v := k.version(req.Model)
+		return v < req.MinVersion && v+maxRecheckLag >= req.MinVersion && req.Now.Sub(u.versionCheckedAt) >= recheckInterval
 	}
-	return k.version(w.Model) >= w.MinVersion
+	return k.version(req.Model) >= req.MinVersion
 }
 
-// load returns how many requests k is believed to hold.
-func (k *known) load(now time.Time) int {
-	u := k.seen()
-	if now.Sub(u.othersAt) > loadBelief {
+// load returns the estimated number of requests at k.
+func (k *upstreamState) load(now time.Time) int {
+	u := k.localOrZero()
+	if now.Sub(u.otherLoadAt) > loadMaxAge {
 		return u.inFlight
 	}
-	return u.inFlight + u.others
+	return u.inFlight + u.otherLoad
 }
 
-// Done ends the ticket's request and tells how it went.
-func (t *Reservation) Done(rep AttemptResult) {
-	r := t.registry
+// Done ends the reservation and records how the request went.
+func (res *Reservation) Done(result AttemptResult) {
+	r := res.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t.known.used().inFlight--
-	r.learn(t.known, rep)
+	res.state.ensureLocal().inFlight--
+	r.record(res.state, result)
 }
 
-// Release ends a ticket whose request was not sent.
-func (t *Reservation) Release() {
-	r := t.registry
+// Release ends a reservation whose request was not sent.
+func (res *Reservation) Release() {
+	r := res.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := t.known.used()
+	u := res.state.ensureLocal()
 	u.inFlight--
-	u.asking = false
+	u.singleInFlight = false
 }
 
-// FasterAvailable reports whether the ticket's upstream has been from times slower than
-// usual, while another that may take its request, w, is not and has a free slot.
-func (t *Reservation) FasterAvailable(w Requirements, from float64) bool {
-	r := t.registry
+// FasterAvailable reports whether the reserved upstream is at least factor times
+// slower than usual, while another that may take its request, req, is not and has a free slot.
+func (res *Reservation) FasterAvailable(req Requirements, factor float64) bool {
+	r := res.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.slowness(t.Pool, w.Now)[t.ID] < from {
+	if r.slowness(res.Pool, req.Now)[res.ID] < factor {
 		return false
 	}
-	return slices.ContainsFunc(r.candidates(r.usablePart(w), w), func(c Candidate) bool {
-		return c.ID != t.ID && c.Slowness < from && c.Load < c.Slots
+	return slices.ContainsFunc(r.candidates(r.usableFor(req), req), func(c Candidate) bool {
+		return c.ID != res.ID && c.Slowness < factor && c.Load < c.Slots
 	})
 }
 
-// Observe tells what was seen while the ticket's request still runs.
-func (t *Reservation) Observe(rep AttemptResult) {
-	t.registry.mu.Lock()
-	defer t.registry.mu.Unlock()
-	t.registry.learn(t.known, rep)
+// Observe records an observation while the request is in flight.
+func (res *Reservation) Observe(result AttemptResult) {
+	res.registry.mu.Lock()
+	defer res.registry.mu.Unlock()
+	res.registry.record(res.state, result)
 }
 
-func (r *Registry) learn(k *known, rep AttemptResult) {
-	u := k.used()
-	if rep.Load != nil {
-		u.others = max(0, rep.Load.Running+rep.Load.Queued-u.inFlight)
-		u.othersAt = rep.At
+func (r *Registry) record(k *upstreamState, result AttemptResult) {
+	u := k.ensureLocal()
+	if result.Load != nil {
+		u.otherLoad = max(0, result.Load.Running+result.Load.Queued-u.inFlight)
+		u.otherLoadAt = result.At
 	}
-	u.asking = false
-	if rep.Busy {
-		u.busyUntil, u.doubted = rep.BusyUntil, true
-	} else if !rep.VersionRefused {
-		u.doubted = false
+	u.singleInFlight = false
+	if result.Busy {
+		u.busyUntil, u.singleRequest = result.BusyUntil, true
+	} else if !result.VersionRefused {
+		u.singleRequest = false
 	}
-	u.gone = u.gone || rep.AddressReused
-	for m, v := range rep.Versions {
-		if u.confirmed == nil {
-			u.confirmed = map[string]uint64{}
+	u.addressReused = u.addressReused || result.AddressReused
+	for m, v := range result.Versions {
+		if u.observedVersions == nil {
+			u.observedVersions = map[string]uint64{}
 		}
-		u.confirmed[m] = max(u.confirmed[m], v)
+		u.observedVersions[m] = max(u.observedVersions[m], v)
 	}
-	if rep.TimePerUnit > 0 {
-		r.paces.Observe(k.ID, rep.TimePerUnit, rep.At)
+	if result.TimePerUnit > 0 {
+		r.tokenTimes.Observe(k.ID, result.TimePerUnit, result.At)
 		if p := r.pools[k.Pool]; p != nil && r.byID[k.ID] == k {
-			p.paced[k.ID] = true
+			p.measured[k.ID] = true
 		}
 	}
 	switch {
-	case rep.Failed || rep.Unreachable:
-		r.health.RecordFailure(k.ID, rep.At, rep.Unreachable)
-	case !rep.Busy && !rep.AddressReused && !rep.VersionRefused:
+	case result.Failed || result.Unreachable:
+		r.health.RecordFailure(k.ID, result.At, result.Unreachable)
+	case !result.Busy && !result.AddressReused && !result.VersionRefused:
 		r.health.RecordSuccess(k.ID)
 	}
 }
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -17,192 +17,193 @@
 	return out
 }
 
-func start() time.Time { return time.Unix(1_800_000_000, 0) }
+func baseTime() time.Time { return time.Unix(1_800_000_000, 0) }
 
-// Replays a batch whose items all start at once: it spreads evenly, no upstream
-// has more than its slots, and the rest waits.
+// A batch whose items all start at once spreads evenly: no upstream gets more requests
+// than it has slots, and the rest must wait.
 func TestBatchSpreadsEvenly(t *testing.T) {
 	r := upstream.NewRegistry("z")
 	r.Set(entries(9))
 	count := map[string]int{}
 	for i := range 100 {
-		tk, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: start(), NeedFreeSlot: true, Affinity: fmt.Sprintf("prompt-%d", i/4)})
+		res, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: baseTime(), NeedFreeSlot: true, Affinity: fmt.Sprintf("prompt-%d", i/4)})
 		if !ok {
 			break
 		}
-		count[tk.ID]++
+		count[res.ID]++
 	}
 	total := 0
 	for id, n := range count {
 		total += n
 		if n > 8 {
-			t.Errorf("%s has %d of 8 slots taken", id, n)
+			t.Errorf("%s got %d requests, want at most its 8 slots", id, n)
 		}
 	}
 	if total != 72 {
-		t.Fatalf("%d of 72 slots taken: %v", total, count)
+		t.Fatalf("%d requests sent, want 72: %v", total, count)
 	}
 }
 
-// Replays a load on nine upstreams of which one takes five times as long: it is
-// given a small part of the work, and a batch leaves it what it serves in time.
+// Of nine upstreams one takes five times as long as the others: it must get a small
+// share of the requests, and of a batch only what it serves in the usual time.
 func TestSlowUpstreamGetsLess(t *testing.T) {
 	r := upstream.NewRegistry("z")
 	r.Set(entries(9))
-	now := start()
+	now := baseTime()
 	slow, slowID := 0, ""
 	for i := range 900 {
 		now = now.Add(time.Millisecond)
-		affinity := "own" // the slow one's, as it happens
+		affinity := "own" // happens to rank the slow upstream first
 		if i%8 == 0 {
-			affinity = fmt.Sprint(i) // now and then another is tried
+			affinity = fmt.Sprint(i) // sometimes another upstream is tried
 		}
-		tk, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: now, Affinity: affinity})
+		res, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: now, Affinity: affinity})
 		if !ok {
-			t.Fatal("no upstream")
+			t.Fatal("Acquire found no usable upstream")
 		}
-		pace := time.Millisecond
+		unitTime := time.Millisecond
 		if slowID == "" {
-			slowID = tk.ID
+			slowID = res.ID
 		}
-		if tk.ID == slowID {
-			pace *= 5
-			if i > 90 { // by then it is known
+		if res.ID == slowID {
+			unitTime *= 5
+			if i > 90 { // the slowness is known by then
 				slow++
 			}
 		}
-		tk.Done(upstream.AttemptResult{At: now, TimePerUnit: pace})
+		res.Done(upstream.AttemptResult{At: now, TimePerUnit: unitTime})
 	}
 	if slow > 30 {
-		t.Errorf("%d of 810 requests went to the slow one", slow)
+		t.Errorf("%d of 810 requests sent to the slow upstream, want at most 30", slow)
 	}
 	n := 0
 	for range 72 {
-		if tk, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: now, NeedFreeSlot: true}); ok && tk.ID == slowID {
+		if res, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: now, NeedFreeSlot: true}); ok && res.ID == slowID {
 			n++
 		}
 	}
 	if n > 2 {
-		t.Errorf("%d of a batch's items went to the slow one's 8 slots", n)
+		t.Errorf("%d items of a batch sent to the slow upstream, want at most 2 of its 8 slots", n)
 	}
 }
 
-// A stream at a slow upstream is better off elsewhere only if another has room.
-func TestBetter(t *testing.T) {
+// A faster upstream is available to a stream at a slow one only if another has a free
+// slot.
+func TestFasterAvailable(t *testing.T) {
 	r := upstream.NewRegistry("z")
 	r.Set(entries(3))
-	now := start()
+	now := baseTime()
 	var slow *upstream.Reservation
 	for range 24 {
-		tk, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: now})
-		pace := time.Millisecond
-		if tk.ID == "i0" {
-			slow, pace = tk, 4*time.Millisecond
+		res, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: now})
+		unitTime := time.Millisecond
+		if res.ID == "i0" {
+			slow, unitTime = res, 4*time.Millisecond
 		}
-		tk.Observe(upstream.AttemptResult{At: now, TimePerUnit: pace})
+		res.Observe(upstream.AttemptResult{At: now, TimePerUnit: unitTime})
 	}
 	if slow.FasterAvailable(upstream.Requirements{Pool: "p", Now: now}, 2) {
-		t.Fatal("better elsewhere, though all slots are taken")
+		t.Fatal("FasterAvailable = true though all slots are taken, want false")
 	}
 	r.Set(append(entries(3), upstream.Entry{ID: "i9", Pool: "p", Address: "10.0.0.9:1", DataCentre: "z", Slots: 8}))
 	if !slow.FasterAvailable(upstream.Requirements{Pool: "p", Now: now}, 2) {
-		t.Fatal("not better elsewhere, though an idle upstream is there")
+		t.Fatal("FasterAvailable = false though an upstream is idle, want true")
 	}
 }
 
-// An upstream that takes no connection, or fails twice in a row, is left alone
-// for a while; one that only had no room is left alone shortly.
+// An upstream that accepts no connection, or fails twice in a row, is ejected for a
+// while. One that only had no free slot gets no requests for a shorter time.
 func TestFailuresEject(t *testing.T) {
 	for name, c := range map[string]struct {
-		rep  upstream.AttemptResult
-		n    int
-		away time.Duration
+		rep      upstream.AttemptResult
+		n        int
+		unusable time.Duration
 	}{
 		"unreachable": {upstream.AttemptResult{Unreachable: true}, 1, 300 * time.Millisecond},
 		"failed once": {upstream.AttemptResult{Failed: true}, 1, 0},
 		"failed":      {upstream.AttemptResult{Failed: true}, 2, 300 * time.Millisecond},
 		"gone":        {upstream.AttemptResult{AddressReused: true}, 1, time.Hour},
-		"busy":        {upstream.AttemptResult{Busy: true, BusyUntil: start().Add(100 * time.Millisecond)}, 1, 90 * time.Millisecond},
+		"busy":        {upstream.AttemptResult{Busy: true, BusyUntil: baseTime().Add(100 * time.Millisecond)}, 1, 90 * time.Millisecond},
 	} {
 		r := upstream.NewRegistry("z")
 		r.Set(entries(1))
 		for range c.n {
-			tk, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: start()})
+			res, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: baseTime()})
 			if !ok {
-				t.Fatalf("%s: ejected too soon", name)
+				t.Fatalf("%s: not usable before all failures were reported", name)
 			}
-			c.rep.At = start()
-			tk.Done(c.rep)
+			c.rep.At = baseTime()
+			res.Done(c.rep)
 		}
-		if _, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: start().Add(c.away)}); ok != (c.away == 0) {
-			t.Errorf("%s: usable %v after %v", name, ok, c.away)
+		if _, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: baseTime().Add(c.unusable)}); ok != (c.unusable == 0) {
+			t.Errorf("%s: usable = %v after %v", name, ok, c.unusable)
 		}
-		if _, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: start().Add(3 * time.Second)}); !ok && name != "gone" {
-			t.Errorf("%s: not usable after 3 s", name)
+		if _, ok := r.Acquire(upstream.Requirements{Pool: "p", Now: baseTime().Add(3 * time.Second)}); !ok && name != "gone" {
+			t.Errorf("%s: not usable after 3 s, want usable", name)
 		}
 	}
 }
 
-// What is known of an upstream is forgotten when it starts again under its ID,
-// and kept when only its entry changes.
-func TestStartedAgain(t *testing.T) {
+// The state of an upstream is discarded when it restarts under the same ID, and kept
+// when only its entry changes.
+func TestRestartDiscardsState(t *testing.T) {
 	r := upstream.NewRegistry("z")
 	es := entries(1)
 	r.Set(es)
-	tk, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: start()})
-	tk.Done(upstream.AttemptResult{At: start(), Versions: map[string]uint64{"m": 5}})
+	res, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: baseTime()})
+	res.Done(upstream.AttemptResult{At: baseTime(), Versions: map[string]uint64{"m": 5}})
 	r.Set(es)
 	if v := r.Entries("p")[0].Versions["m"]; v != 5 {
-		t.Fatalf("version %d, want 5 as its answers showed", v)
+		t.Fatalf("version %d, want 5, which a response showed", v)
 	}
 	es[0].Born = 2
 	r.Set(es)
 	if v := r.Entries("p")[0].Versions["m"]; v != 1 {
-		t.Fatalf("version %d of the new start, want 1 as it tells", v)
+		t.Fatalf("version %d of the restarted upstream, want 1, which it registered", v)
 	}
 }
 
-// Requests go to upstreams whose weights are new enough; a little too old ones
-// can be asked, one request at a time.
-func TestVersions(t *testing.T) {
+// Requests go to upstreams whose weights are new enough. Upstreams that are slightly
+// too old may be checked, by one request at a time.
+func TestVersionRequirement(t *testing.T) {
 	r := upstream.NewRegistry("z")
 	es := entries(3)
 	es[1].Versions = map[string]uint64{"m": 4}
 	es[2].Versions = map[string]uint64{"m": 5}
 	r.Set(es)
-	want := upstream.Requirements{Pool: "p", Now: start(), Model: "m", MinVersion: 5}
+	want := upstream.Requirements{Pool: "p", Now: baseTime(), Model: "m", MinVersion: 5}
 	for range 5 {
-		if tk, ok := r.Acquire(want); !ok || tk.ID != "i2" {
-			t.Fatal("not the one that is new enough")
+		if res, ok := r.Acquire(want); !ok || res.ID != "i2" {
+			t.Fatal("Acquire did not choose i2, the only upstream that is new enough")
 		}
 	}
 	want.Outdated = true
-	if tk, ok := r.Acquire(want); !ok || tk.ID != "i1" {
-		t.Fatal("the one a version behind is not asked")
+	if res, ok := r.Acquire(want); !ok || res.ID != "i1" {
+		t.Fatal("Acquire with Outdated did not choose i1, which is one version behind")
 	}
-	if tk, ok := r.Acquire(want); ok {
-		t.Fatalf("%s is asked at once again", tk.ID)
+	if res, ok := r.Acquire(want); ok {
+		t.Fatalf("Acquire with Outdated chose %s, want none before recheckInterval has passed", res.ID)
 	}
 }
 
-// The nearer upstream is preferred while it is about as loaded.
-func TestNearIsPreferred(t *testing.T) {
+// An upstream in the same data centre is preferred while its load is about equal.
+func TestLocalUpstreamPreferred(t *testing.T) {
 	r := upstream.NewRegistry("z")
 	es := entries(2)
 	es[0].DataCentre = "far"
 	r.Set(es)
 	for range 1 {
-		if tk, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: start()}); tk.ID != "i1" {
-			t.Fatal("the far one is chosen")
+		if res, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: baseTime()}); res.ID != "i1" {
+			t.Fatal("the upstream of the other data centre was chosen, want i1")
 		}
 	}
-	far := 0
+	remote := 0
 	for range 8 {
-		if tk, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: start()}); tk.ID == "i0" {
-			far++
+		if res, _ := r.Acquire(upstream.Requirements{Pool: "p", Now: baseTime()}); res.ID == "i0" {
+			remote++
 		}
 	}
-	if far < 3 {
-		t.Fatalf("%d of 8 requests more went to the far one: it is idle", far)
+	if remote < 3 {
+		t.Fatalf("%d of 8 more requests sent to the idle upstream of the other data centre, want at least 3", remote)
 	}
 }
