--- a/cmd/zinnialadder/node.go
+++ b/cmd/zinnialadder/node.go
@@ -115,7 +115,7 @@
 	n := node.New(node.Config{
 		Name: s.Node, DataCentre: s.DataCentre, Address: s.Callers, PeerAddress: s.Peers, Cores: s.Cores, Store: links, StoreReachability: links, Dial: watch.DialPeer, Upstreams: platform.NewEngines(),
 		Decoder: platform.Decoder(), Logger: logger, Metrics: registry, MaxRowBytes: s.RowBytes, MinHolderInterval: s.LeaseTime, SubmissionRetention: s.StatusTime, ShutdownGrace: s.Grace,
-		CloudProvider: cloud, Calendar: usage.Schedule{Length: s.UsageWindow, ReportDelay: s.UsageLate},
+		CloudProvider: cloud, UsageSchedule: usage.Schedule{Length: s.UsageWindow, ReportDelay: s.UsageLate},
 	})
 	callers := platform.NewCallers(n)
 	var servers []*http.Server
--- a/cmd/zinnialadder/roles.go
+++ b/cmd/zinnialadder/roles.go
@@ -44,7 +44,7 @@
 		ID: s.ID, DataCentre: s.DataCentre, Listen: s.Listen, Advertise: s.Advertise, PeerListen: s.PeerListen,
 		Platform:        platform.NewClient(s.Platform, nil),
 		Logger:          newLogger("entry", s.Common).With("id", s.ID),
-		Refresh:         time.Duration(s.Refresh),
+		RefreshInterval: time.Duration(s.Refresh),
 		LeaseTTL:        time.Duration(s.LeaseTTL),
 		UpstreamTimeout: time.Duration(s.UpstreamTimeout),
 		RouteTTL:        time.Duration(s.RouteTTL),
@@ -59,7 +59,7 @@
 		ShardLeaseTTL:   time.Duration(s.ShardLeaseTTL),
 		StepRetention:   time.Duration(s.StepRetention),
 		StepPolicy:      step.Policy{HedgeFactor: s.HedgeFactor},
-		SlowFrom:        s.SlowFrom,
+		SlowFactor:      s.SlowFrom,
 	}
 }
 
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -125,9 +125,9 @@
 	}
 	s, err := site.Start(site.Config{Engines: cfg.Deployment.Engines, Entries: cfg.Deployment.Entries,
 		Engine: enginetest.Config{Slots: slots, TokenInterval: tokenInterval, WeightVersion: 1, ChecksFencing: true, WeightStore: store},
-		Entry: entry.Config{Refresh: 100 * time.Millisecond, Tick: 10 * time.Millisecond, ReportInterval: 100 * time.Millisecond,
-			StepTick: 5 * time.Millisecond, StepRefresh: 100 * time.Millisecond, RolloutPollInterval: 25 * time.Millisecond,
-			ReportLag: 50 * time.Millisecond, ShardGroups: 8, SlowFrom: cfg.Policy.SlowFrom, StepPolicy: step.Policy{HedgeFactor: hedge, HedgeAfter: 8, RetryDelay: 20 * time.Millisecond}}})
+		Entry: entry.Config{RefreshInterval: 100 * time.Millisecond, TickInterval: 10 * time.Millisecond, ReportInterval: 100 * time.Millisecond,
+			StepTickInterval: 5 * time.Millisecond, StepRefreshInterval: 100 * time.Millisecond, RolloutPollInterval: 25 * time.Millisecond,
+			ReportLag: 50 * time.Millisecond, ShardGroups: 8, SlowFactor: cfg.Policy.SlowFrom, StepPolicy: step.Policy{HedgeFactor: hedge, HedgeAfter: 8, RetryDelay: 20 * time.Millisecond}}})
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/control/control_test.go
+++ b/pkg/control/control_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m, 200) }
 
-var timing = control.Timing{Refresh: time.Second, FullScan: time.Minute, LeaseTTL: 5 * time.Second, ShardTTL: 3 * time.Second,
+var timing = control.Timing{Refresh: time.Second, FullReadInterval: time.Minute, LeaseTTL: 5 * time.Second, ShardTTL: 3 * time.Second,
 	Reports: time.Second, ReportBudget: 6, Sweep: 5 * time.Second, SweepGrace: 10 * time.Second, Purge: time.Minute, Steps: 2 * time.Second}
 
 func start() time.Time { return time.Unix(1_800_000_000, 0) }
--- a/pkg/control/reduce.go
+++ b/pkg/control/reduce.go
@@ -76,7 +76,7 @@
 	t, effs, ok := s.timing, []Effect(nil), false
 	if s, ok = s.beginDue(catalogueTask, now, t.Refresh); ok {
 		full := false
-		s, full = s.due(fullScanTask, now, t.FullScan)
+		s, full = s.due(fullScanTask, now, t.FullReadInterval)
 		effs = append(effs, ReadCatalogue{Known: s.revisionRow, Number: s.revisionNumber, Full: full})
 	}
 	if s, ok = s.beginDue(instancesTask, now, t.Refresh); ok {
--- a/pkg/control/rollout.go
+++ b/pkg/control/rollout.go
@@ -91,10 +91,10 @@
 	var addrs []string
 	switch {
 	case !now.Before(pr.nextPoolRead):
-		pr.nextPoolRead, pr.nextOutdatedRead = now.Add(s.timing.RolloutCheck), now.Add(s.timing.RolloutProbe)
+		pr.nextPoolRead, pr.nextOutdatedRead = now.Add(s.timing.PoolPollInterval), now.Add(s.timing.RolloutPollInterval)
 		addrs = slices.Sorted(maps.Keys(pr.Engines))
 	case !now.Before(pr.nextOutdatedRead):
-		pr.nextOutdatedRead = now.Add(s.timing.RolloutProbe)
+		pr.nextOutdatedRead = now.Add(s.timing.RolloutPollInterval)
 		addrs = outdated
 	}
 	s, effs = s.readReports(addrs, pr, effs)
--- a/pkg/control/state.go
+++ b/pkg/control/state.go
@@ -12,20 +12,20 @@
 
 // Timing holds the periods of the state machine.
 type Timing struct {
-	Refresh      time.Duration // period of reading the catalogue revision and the membership
-	FullScan     time.Duration // period of reading the whole catalogue, changed or not
-	LeaseTTL     time.Duration // least time to live of membership leases
-	ShardTTL     time.Duration // least time to live of step shards' leases
-	Reports      time.Duration // period of reading load reports
-	ReportBudget int           // load reports read per period, at most
-	Sweep        time.Duration // period of delivery sweeps
-	SweepGrace   time.Duration // age from which on a delivery record is swept
-	Purge        time.Duration // period of deleting records past their retention
-	Steps        time.Duration // period of reading the stored steps
-	Rollout      weights.Config
-	RolloutRenew time.Duration // period of renewing a rollout lease
-	RolloutProbe time.Duration // period of reading the reports of engines without the target version
-	RolloutCheck time.Duration // period of reading the reports of all engines of a pool
+	Refresh             time.Duration // period of reading the catalogue revision and the membership
+	FullReadInterval    time.Duration // period of reading the whole catalogue, changed or not
+	LeaseTTL            time.Duration // least time to live of membership leases
+	ShardTTL            time.Duration // least time to live of step shards' leases
+	Reports             time.Duration // period of reading load reports
+	ReportBudget        int           // load reports read per period, at most
+	Sweep               time.Duration // period of delivery sweeps
+	SweepGrace          time.Duration // age from which on a delivery record is swept
+	Purge               time.Duration // period of deleting records past their retention
+	Steps               time.Duration // period of reading the stored steps
+	Rollout             weights.Config
+	RolloutRenew        time.Duration // period of renewing a rollout lease
+	RolloutPollInterval time.Duration // period of reading the reports of engines without the target version
+	PoolPollInterval    time.Duration // period of reading the reports of all engines of a pool
 }
 
 // State is the state of the machine. Reduce returns a new one and does not modify the
--- a/pkg/entry/config.go
+++ b/pkg/entry/config.go
@@ -42,8 +42,8 @@
 	Logger   *log.Logger      // default log.Default()
 	Metrics  metrics.Registry // default a new registry
 
-	Tick             time.Duration // interval of the control loop; default 100ms
-	Refresh          time.Duration // interval of catalogue and membership reads; default 1s
+	TickInterval     time.Duration // interval of the control loop; default 100ms
+	RefreshInterval  time.Duration // interval of catalogue and membership reads; default 1s
 	LeaseTTL         time.Duration // duration of the membership lease; default 5s
 	ReportInterval   time.Duration // interval of load report reads; default 1s
 	ReportBudget     int           // load reports read per ReportInterval; default 6
@@ -67,14 +67,14 @@
 	PoolPollInterval    time.Duration // interval of report reads from all engines of a pool; default 10s
 	// StepPolicy sets how slow generations of training steps are handled. Its MaxRunning is
 	// set to the limit of the catalogue entry.
-	StepPolicy    step.Policy
-	MaxInFlight   int // limit of concurrent requests over all entries; default 512
-	Health        health.Config
-	SlowFrom      float64       // multiple of the usual token time from which an engine is slow; see health.NewTokenTimes
-	ShardGroups   int           // groups of a step in one shard; default 64
-	ShardLeaseTTL time.Duration // duration of the lease of a step's shard; default 3s
-	StepTick      time.Duration // interval of a shard's control loop; default 25ms
-	StepRefresh   time.Duration // interval of reads of the stored steps; default 2s
+	StepPolicy          step.Policy
+	MaxInFlight         int // limit of concurrent requests over all entries; default 512
+	Health              health.Config
+	SlowFactor          float64       // multiple of the usual token time from which an engine is slow; see health.NewTokenTimes
+	ShardGroups         int           // groups of a step in one shard; default 64
+	ShardLeaseTTL       time.Duration // duration of the lease of a step's shard; default 3s
+	StepTickInterval    time.Duration // interval of a shard's control loop; default 25ms
+	StepRefreshInterval time.Duration // interval of reads of the stored steps; default 2s
 	// StepRetention is how long the status of a closed step can be read. The default is
 	// 10m.
 	StepRetention time.Duration
@@ -108,8 +108,8 @@
 }
 
 func (c *Config) setTimes() {
-	orDefault(&c.Tick, 100*time.Millisecond)
-	orDefault(&c.Refresh, time.Second)
+	orDefault(&c.TickInterval, 100*time.Millisecond)
+	orDefault(&c.RefreshInterval, time.Second)
 	orDefault(&c.LeaseTTL, 5*time.Second)
 	orDefault(&c.ReportInterval, time.Second)
 	orDefault(&c.PlatformTimeout, 2*time.Second)
@@ -128,8 +128,8 @@
 	orDefault(&c.RolloutPollInterval, 250*time.Millisecond)
 	orDefault(&c.PoolPollInterval, 10*time.Second)
 	orDefault(&c.ShardLeaseTTL, 3*time.Second)
-	orDefault(&c.StepTick, 25*time.Millisecond)
-	orDefault(&c.StepRefresh, 2*time.Second)
+	orDefault(&c.StepTickInterval, 25*time.Millisecond)
+	orDefault(&c.StepRefreshInterval, 2*time.Second)
 	orDefault(&c.StepRetention, 10*time.Minute)
 	orDefault(&c.StepPolicy.RetryDelay, 200*time.Millisecond)
 	orDefault(&c.PeerKeepAlive, 5*time.Second)
--- a/pkg/entry/drain_test.go
+++ b/pkg/entry/drain_test.go
@@ -94,7 +94,7 @@
 	fake := clock.NewFake(time.Now())
 	s, err := site.Start(site.Config{Engines: 3, Entries: 2, Clock: fake, NoPeers: true,
 		Engine: enginetest.Config{TokenInterval: time.Millisecond},
-		Entry:  entry.Config{Refresh: time.Second, Tick: 2 * time.Millisecond}})
+		Entry:  entry.Config{RefreshInterval: time.Second, TickInterval: 2 * time.Millisecond}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -29,11 +29,11 @@
 		ec.TokenInterval = time.Millisecond
 	}
 	cfg := site.Config{Engines: engines, Services: 2, Entries: entries, Engine: ec,
-		Entry: entry.Config{Refresh: 50 * time.Millisecond, Tick: 10 * time.Millisecond, ReportInterval: 50 * time.Millisecond,
+		Entry: entry.Config{RefreshInterval: 50 * time.Millisecond, TickInterval: 10 * time.Millisecond, ReportInterval: 50 * time.Millisecond,
 			IdleTimeout: 200 * time.Millisecond, SweepInterval: 50 * time.Millisecond,
 			MaxInFlight: 60, DrainNotice: 20 * time.Millisecond, PurgeInterval: 50 * time.Millisecond, PeerKeepAlive: 100 * time.Millisecond, RolloutPollInterval: 20 * time.Millisecond, PoolPollInterval: 100 * time.Millisecond, ReportLag: 50 * time.Millisecond,
-			RolloutLeaseTTL: time.Second, ShardLeaseTTL: time.Second, ShardGroups: 4, StepTick: 5 * time.Millisecond,
-			StepRefresh: 100 * time.Millisecond, LeaseTTL: time.Second}}
+			RolloutLeaseTTL: time.Second, ShardLeaseTTL: time.Second, ShardGroups: 4, StepTickInterval: 5 * time.Millisecond,
+			StepRefreshInterval: 100 * time.Millisecond, LeaseTTL: time.Second}}
 	adjust(&cfg)
 	s, err := site.Start(cfg)
 	if err != nil {
--- a/pkg/entry/generation.go
+++ b/pkg/entry/generation.go
@@ -46,14 +46,14 @@
 // tokens is resumed on another engine. Engines that refuse the connection do not count as
 // attempts because they received nothing.
 func (g *generation) run(ctx context.Context) (Event, error) {
-	g.in.retries.Earn()
+	g.in.retries.Deposit()
 	var last error
 	for attempts, tries := 0, 0; attempts < maxAttempts && tries < maxTried; tries++ {
 		if err := g.in.quarantine.Guard.Check(g.content(), time.Now()); err != nil {
 			last = err
 			break
 		}
-		if attempts > 0 && g.tokens == 0 && !g.in.retries.Spend() {
+		if attempts > 0 && g.tokens == 0 && !g.in.retries.Withdraw() {
 			g.in.stats.retriesRefused.Inc(1)
 			break
 		}
--- a/pkg/entry/loop.go
+++ b/pkg/entry/loop.go
@@ -22,7 +22,7 @@
 // goroutines, which report their results as events.
 func (in *Instance) control(ctx context.Context) error {
 	st := control.New(in.self, in.timing)
-	ticker := time.NewTicker(in.cfg.Tick)
+	ticker := time.NewTicker(in.cfg.TickInterval)
 	defer ticker.Stop()
 	st, effs := control.Reduce(st, control.Tick{At: in.cfg.Clock.Now()})
 	in.applyEffects(ctx, effs)
--- a/pkg/entry/outage_test.go
+++ b/pkg/entry/outage_test.go
@@ -49,7 +49,7 @@
 // within the platform timeout as not_run with Retry-After, and must not be sent.
 func TestSlowPlatformPromptRejection(t *testing.T) {
 	s, err := site.Start(site.Config{Engines: 1, Entries: 1,
-		Entry: entry.Config{Refresh: 50 * time.Millisecond, Tick: 10 * time.Millisecond, PlatformTimeout: 300 * time.Millisecond}})
+		Entry: entry.Config{RefreshInterval: 50 * time.Millisecond, TickInterval: 10 * time.Millisecond, PlatformTimeout: 300 * time.Millisecond}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 func TestStaleReadsRevertNothing(t *testing.T) {
 	s := startSite(t, 1, 0, enginetest.Config{WeightVersion: 1})
 	// Full reads all the time, so that the old rows are actually read.
-	if err := s.StartEntryWith("scans", func(c *entry.Config) { c.FullReadInterval = c.Refresh }); err != nil {
+	if err := s.StartEntryWith("scans", func(c *entry.Config) { c.FullReadInterval = c.RefreshInterval }); err != nil {
 		t.Fatal(err)
 	}
 	in := s.Entries[0]
--- a/pkg/entry/peers_test.go
+++ b/pkg/entry/peers_test.go
@@ -20,7 +20,7 @@
 // apply the change long before their own next read.
 func TestPeersApplyChangePromptly(t *testing.T) {
 	const refresh = 2 * time.Second
-	s, err := site.Start(site.Config{Entries: 1, Entry: entry.Config{Refresh: refresh, Tick: 10 * time.Millisecond}})
+	s, err := site.Start(site.Config{Entries: 1, Entry: entry.Config{RefreshInterval: refresh, TickInterval: 10 * time.Millisecond}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/entry/quarantine.go
+++ b/pkg/entry/quarantine.go
@@ -70,7 +70,7 @@
 
 func (in *Instance) onQuarantineEvent(e quarantine.Event) {
 	metrics.GetOrRegisterCounter("quarantine_"+strings.ReplaceAll(e.What, " ", "_"), in.cfg.Metrics).Inc(1)
-	in.cfg.Logger.Warn(e.What, "content", e.Content, "upstream", e.Upstream, "ends", e.Crashes, "unexplained", e.Unexplained, "trials", e.Trials, "err", e.Err)
+	in.cfg.Logger.Warn(e.What, "content", e.Content, "upstream", e.Upstream, "ends", e.Crashes, "unexplained", e.UnexplainedCrashes, "trials", e.Trials, "err", e.Err)
 }
 
 // splitQuarantineRows applies the quarantine rows among rows to the guard and returns the
--- a/pkg/entry/servicecall.go
+++ b/pkg/entry/servicecall.go
@@ -114,7 +114,7 @@
 // retry starts one more attempt if the attempt limit and the retry budget allow it. If
 // there is no other service, the running attempts decide the result.
 func (c *hedgedCall) retry(ctx context.Context) {
-	if c.sent < maxAttempts && ctx.Err() == nil && c.call.in.retries.Spend() {
+	if c.sent < maxAttempts && ctx.Err() == nil && c.call.in.retries.Withdraw() {
 		_ = c.send(ctx)
 	}
 }
@@ -122,7 +122,7 @@
 // sendIdempotent sends an idempotent call. It retries failed attempts and hedges slow ones,
 // and returns the first response.
 func (c *serviceCall) sendIdempotent(ctx context.Context) (CallResponse, error) {
-	c.in.retries.Earn()
+	c.in.retries.Deposit()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	cs := &hedgedCall{call: c, results: make(chan callResult, maxAttempts)}
--- a/pkg/entry/silence_test.go
+++ b/pkg/entry/silence_test.go
@@ -130,7 +130,7 @@
 	var r *relay.Relay
 	err := s.StartEntryWith("entry-far", func(c *entry.Config) {
 		r = startRelay(t, c.PeerListener.Addr().String())
-		c.Refresh, c.PeerAdvertise, c.PeerKeepAlive = time.Hour, r.Addr(), 100*time.Millisecond
+		c.RefreshInterval, c.PeerAdvertise, c.PeerKeepAlive = time.Hour, r.Addr(), 100*time.Millisecond
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/pkg/entry/stepgenerate.go
+++ b/pkg/entry/stepgenerate.go
@@ -11,7 +11,7 @@
 // shardConfig returns the configuration of the shards that this instance runs.
 func (in *Instance) shardConfig() shard.Config {
 	return shard.Config{Platform: in.cfg.Platform, Clock: in.cfg.Clock, Logger: in.cfg.Logger, Holder: in.cfg.ID + "/" + in.processID,
-		View: in.View, Samples: in.samples, Generate: in.generateSample, Policy: in.cfg.StepPolicy, TickInterval: in.cfg.StepTick,
+		View: in.View, Samples: in.samples, Generate: in.generateSample, Policy: in.cfg.StepPolicy, TickInterval: in.cfg.StepTickInterval,
 		DrainTimeout: drainSendTimeout, Stale: in.stats.delivery.Stale}
 }
 
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -55,8 +55,8 @@
 	// Pause returns the least time between two calls, so that changes in quick succession
 	// are read together; nil for none.
 	Pause func() time.Duration
-	// From is the version up to which the table is known already; 0 for a full read.
-	From uint64
+	// After is the version up to which the table is known already; 0 for a full read.
+	After uint64
 	// OnUpdate is called with each Update, in order.
 	OnUpdate func(Update)
 }
@@ -72,7 +72,7 @@
 		clock.Sleep(ctx, backoff/2+rand.N(backoff/2))
 		backoff = min(2*backoff, maxBackoff)
 	}
-	version, known := f.From, f.From != 0
+	version, known := f.After, f.After != 0
 	for ctx.Err() == nil {
 		if !known {
 			rows, scanned, err := f.scan(ctx)
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -104,9 +104,9 @@
 	Status   int // HTTP status; 0 if there was no response
 	Took     time.Duration
 	Err      error
-	// BegunAt is when the upstream started to work on the request, as far as is known. It
+	// StartedAt is when the upstream started to work on the request, as far as is known. It
 	// is zero if the upstream did not, or if an earlier attempt of the request had started.
-	BegunAt time.Time
+	StartedAt time.Time
 }
 
 // Forwarder forwards requests to upstreams. Use Do for complete responses and Stream for
@@ -184,7 +184,7 @@
 	t.Done(rep)
 	seen := Attempt{Request: r.ID, Content: r.content(), Route: rt.Name, Customer: r.Customer, Upstream: t.ID, Number: len(plan.Tried()) + 1, Status: a.Status, Took: rep.At.Sub(start), Err: err}
 	if !errors.Is(err, ErrNotRun) && !plan.MayHaveRun() {
-		seen.BegunAt = start
+		seen.StartedAt = start
 	}
 	f.cfg.OnAttempt(seen)
 	guarded.Done(ctx, outcomeOf(actx, a.Status, err))
--- a/pkg/forward/stream.go
+++ b/pkg/forward/stream.go
@@ -176,7 +176,7 @@
 	t.Done(rep)
 	seen := Attempt{Request: s.request.ID, Content: s.request.content(), Route: s.route.Name, Customer: s.request.Customer, Upstream: t.ID, Number: len(s.plan.Tried()) + 1, Status: o.Status, Took: time.Since(startedAt), Err: err}
 	if !s.startReported && !firstAt.IsZero() {
-		s.startReported, seen.BegunAt = true, firstAt
+		s.startReported, seen.StartedAt = true, firstAt
 	}
 	s.f.cfg.OnAttempt(seen)
 	return o.Status, err
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -286,8 +286,8 @@
 	return out
 }
 
-// Size returns the number of rows.
-func (v *View) Size() int { return len(v.members) }
+// Len returns the number of rows.
+func (v *View) Len() int { return len(v.members) }
 
 // StartIDOf returns the start ID in the row of the instance with the given name.
 func (v *View) StartIDOf(name string) (start string, ok bool) {
--- a/pkg/membership/roster_test.go
+++ b/pkg/membership/roster_test.go
@@ -177,8 +177,8 @@
 			if got, want := values(receiver.Live(later, "b")), values(reader.Live(now, "a")); got != want {
 				t.Fatalf("receiver sees %s live, want %s as the reader", got, want)
 			}
-			if reader.Size() != receiver.Size() {
-				t.Fatalf("receiver has %d rows, want %d as the reader", receiver.Size(), reader.Size())
+			if reader.Len() != receiver.Len() {
+				t.Fatalf("receiver has %d rows, want %d as the reader", receiver.Len(), reader.Len())
 			}
 		}
 		// From here on the receiver reads the table itself: stale members must stay
--- a/pkg/node/duties.go
+++ b/pkg/node/duties.go
@@ -53,7 +53,7 @@
 }
 
 func newDuties(n *Node) *duties {
-	return &duties{node: n, ledger: usage.Ledger{Store: n.cfg.Store}, billing: usage.Reporter{Schedule: n.cfg.Calendar},
+	return &duties{node: n, ledger: usage.Ledger{Store: n.cfg.Store}, billing: usage.Reporter{Schedule: n.cfg.UsageSchedule},
 		plans: map[string]*scaling.Planner{}, wake: clock.NewWakeup()}
 }
 
--- a/pkg/node/members.go
+++ b/pkg/node/members.go
@@ -33,6 +33,6 @@
 // publishMembers returns the effect that publishes the live members at now, and whether
 // their addresses may be given to callers.
 func (s *state) publishMembers(now time.Time) setMembers {
-	return setMembers{live: s.members.Roster(now, s.name), rowCount: s.members.Size(),
+	return setMembers{live: s.members.Roster(now, s.name), rowCount: s.members.Len(),
 		current: s.members.Current(now, s.unavailableSince[membership.Table], s.name)}
 }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -101,8 +101,8 @@
 	// CloudProvider accepts the site's usage reports and orders of engines. It is nil
 	// for none.
 	CloudProvider CloudProvider
-	// Calendar is the schedule of usage reports. Its zero value disables them.
-	Calendar usage.Schedule
+	// UsageSchedule is the schedule of usage reports. Its zero value disables them.
+	UsageSchedule usage.Schedule
 }
 
 const (
@@ -157,7 +157,7 @@
 // New returns a Node configured by cfg.
 func New(cfg Config) *Node {
 	n := &Node{cfg: cfg, startID: membership.StartID(cfg.Name, time.Now()), startedAt: time.Now(), registry: upstream.NewRegistry(cfg.DataCentre),
-		submissions: submission.Repository{Store: cfg.Store, MaxRow: cfg.MaxRowBytes}, events: make(chan any, eventQueueSize)}
+		submissions: submission.Repository{Store: cfg.Store, MaxRowBytes: cfg.MaxRowBytes}, events: make(chan any, eventQueueSize)}
 	if n.cfg.Metrics == nil {
 		n.cfg.Metrics = metrics.NewRegistry()
 	}
--- a/pkg/node/observe.go
+++ b/pkg/node/observe.go
@@ -69,7 +69,7 @@
 
 // attempt records an attempt at an upstream.
 func (o *observer) attempt(a forward.Attempt) {
-	o.node.usage.count(a.Customer, a.BegunAt)
+	o.node.usage.count(a.Customer, a.StartedAt)
 	switch {
 	case a.Err == nil && a.Status < 500:
 		o.count("attempts.answered")
@@ -117,7 +117,7 @@
 // quarantined records an event of the quarantine of requests that crash upstreams.
 func (o *observer) quarantined(e quarantine.Event) {
 	o.count("quarantine." + strings.ReplaceAll(e.What, " ", "_"))
-	o.logLine(o.failures, true, e.What, "content", e.Content, "upstream", e.Upstream, "ends", e.Crashes, "unexplained", e.Unexplained, "trials", e.Trials, "err", e.Err)
+	o.logLine(o.failures, true, e.What, "content", e.Content, "upstream", e.Upstream, "ends", e.Crashes, "unexplained", e.UnexplainedCrashes, "trials", e.Trials, "err", e.Err)
 }
 
 // step records an event of an item or submission that runs here.
@@ -169,7 +169,7 @@
 	o.gauge("submissions.open", int64(open))
 	o.gauge("submissions.running_here", int64(len(s.running)))
 	o.gauge("upstreams", int64(len(s.entries)))
-	o.gauge("members", int64(s.members.Size()))
+	o.gauge("members", int64(s.members.Len()))
 	o.gauge("configuration.version", int64(o.node.configurationVersion()))
 	o.gauge("orders.fencing_token_held", int64(o.node.orders.current().Fencing))
 	o.gauge("store.tables_away", int64(len(s.unavailableSince)))
--- a/pkg/node/orders.go
+++ b/pkg/node/orders.go
@@ -115,8 +115,8 @@
 	if err != nil {
 		return 0, err
 	}
-	o.setAcceptedCount(e, rep.Orders)
-	return rep.Orders, nil
+	o.setAcceptedCount(e, rep.AcceptedOrders)
+	return rep.AcceptedOrders, nil
 }
 
 func (o *orderSender) setAcceptedCount(e upstream.Entry, count uint64) {
--- a/pkg/node/relay.go
+++ b/pkg/node/relay.go
@@ -52,7 +52,7 @@
 		r.roster = nil
 		return nil
 	}
-	roster, rows := s.members.Roster(t.At, s.name), s.members.Size()
+	roster, rows := s.members.Roster(t.At, s.name), s.members.Len()
 	if r.roster == roster && r.rows == rows && !r.quarantineChanged {
 		return nil
 	}
--- a/pkg/node/usage.go
+++ b/pkg/node/usage.go
@@ -16,12 +16,12 @@
 }
 
 func newUsageRecorder(n *Node) *usageRecorder {
-	return &usageRecorder{node: n, meter: usage.NewMeter(n.cfg.Calendar), ledger: usage.Ledger{Store: n.cfg.Store}}
+	return &usageRecorder{node: n, meter: usage.NewMeter(n.cfg.UsageSchedule), ledger: usage.Ledger{Store: n.cfg.Store}}
 }
 
 // count counts a customer's request that an upstream started to process at at.
 func (u *usageRecorder) count(customer string, at time.Time) {
-	if u.node.cfg.Calendar.Length > 0 && customer != "" && !at.IsZero() {
+	if u.node.cfg.UsageSchedule.Length > 0 && customer != "" && !at.IsZero() {
 		u.meter.Count(customer, at)
 	}
 }
@@ -32,7 +32,7 @@
 
 // run writes the counts that have changed until ctx is done.
 func (u *usageRecorder) run(ctx context.Context) error {
-	if u.node.cfg.Calendar.Length <= 0 {
+	if u.node.cfg.UsageSchedule.Length <= 0 {
 		return nil
 	}
 	for clock.Sleep(ctx, usage.TallyWritePeriod) {
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -57,13 +57,13 @@
 
 // Event is a finding or decision of a Guard, for logs and metrics.
 type Event struct {
-	What        string // message of the log line and name of the metric
-	Content     Fingerprint
-	Upstream    string // its ID; empty for none
-	Crashes     int    // crashes of the content
-	Unexplained int    // crashes without another explanation
-	Trials      int    // trials of the content so far
-	Err         error
+	What               string // message of the log line and name of the metric
+	Content            Fingerprint
+	Upstream           string // its ID; empty for none
+	Crashes            int    // crashes of the content
+	UnexplainedCrashes int    // crashes without another explanation
+	Trials             int    // trials of the content so far
+	Err                error
 }
 
 // Config holds the callbacks of a Guard.
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -172,7 +172,7 @@
 	}
 	delete(g.abandoned, process)
 	for _, f := range g.tracker.RecordCrash(interrupted, crash, now) {
-		g.cfg.OnEvent(Event{What: "upstream ended under a request", Content: f, Upstream: to.ID, Crashes: g.tracker.Crashes(f), Unexplained: g.tracker.unexplainedCrashes(f)})
+		g.cfg.OnEvent(Event{What: "upstream ended under a request", Content: f, Upstream: to.ID, Crashes: g.tracker.Crashes(f), UnexplainedCrashes: g.tracker.unexplainedCrashes(f)})
 	}
 	g.onTrackerChanged()
 }
--- a/pkg/quarantine/rows.go
+++ b/pkg/quarantine/rows.go
@@ -26,7 +26,7 @@
 	for f := range g.tracker.contents {
 		if !g.quarantined[f] && g.tracker.inQuarantine(f) {
 			g.quarantined[f] = true
-			g.cfg.OnEvent(Event{What: "request quarantined", Content: f, Crashes: g.tracker.Crashes(f), Unexplained: g.tracker.unexplainedCrashes(f), Trials: g.tracker.Trials(f)})
+			g.cfg.OnEvent(Event{What: "request quarantined", Content: f, Crashes: g.tracker.Crashes(f), UnexplainedCrashes: g.tracker.unexplainedCrashes(f), Trials: g.tracker.Trials(f)})
 		}
 	}
 	g.cfg.OnChange()
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -19,15 +19,15 @@
 	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// Earn adds the tokens of one request.
-func (b *Budget) Earn() {
+// Deposit adds the tokens of one request.
+func (b *Budget) Deposit() {
 	b.mu.Lock()
 	b.tokens = min(b.burst, b.tokens+b.ratio)
 	b.mu.Unlock()
 }
 
-// Spend takes the token of one retry. It reports false if there is none.
-func (b *Budget) Spend() bool {
+// Withdraw takes the token of one retry. It reports false if there is none.
+func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/pkg/submission/batch.go
+++ b/pkg/submission/batch.go
@@ -40,7 +40,7 @@
 
 func (l Repository) resultOp(ctx context.Context, id string, position int, r Result) (platform.Op, error) {
 	op, err := platform.Put(resultKey(id, position), 0, storedResult{Result: r})
-	if err != nil || len(op.Value) <= l.MaxRow {
+	if err != nil || len(op.Value) <= l.MaxRowBytes {
 		return op, err
 	}
 	data, err := json.Marshal(r)
--- a/pkg/submission/repository.go
+++ b/pkg/submission/repository.go
@@ -29,9 +29,9 @@
 // Repository reads and writes submissions and their results in the store.
 type Repository struct {
 	Store Store
-	// MaxRow is the largest value of a row, in bytes. Larger results are stored as
+	// MaxRowBytes is the largest value of a row, in bytes. Larger results are stored as
 	// objects.
-	MaxRow int
+	MaxRowBytes int
 }
 
 // HeadRow is a submission's head with the version of its row.
--- a/pkg/watch/storereader.go
+++ b/pkg/watch/storereader.go
@@ -16,7 +16,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	for _, t := range tables {
-		reader := feed.Follower{Store: f.cfg.Store, Table: t.Name, Prefixes: t.Prefixes, Wait: t.Wait, Pause: t.Pause, From: versions[t.Name],
+		reader := feed.Follower{Store: f.cfg.Store, Table: t.Name, Prefixes: t.Prefixes, Wait: t.Wait, Pause: t.Pause, After: versions[t.Name],
 			OnUpdate: func(u feed.Update) { onUpdate(ctx, u) }}
 		running.Add(1)
 		f.cfg.Go(func() error {
--- a/pkg/weights/demand.go
+++ b/pkg/weights/demand.go
@@ -38,9 +38,9 @@
 // EngineReport is an engine's report of its state. It may be a few hundred milliseconds
 // old.
 type EngineReport struct {
-	Orders   uint64 // orders accepted since the engine started
-	Busy     bool   // whether the engine is carrying out an order
-	Versions map[string]uint64
+	AcceptedOrders uint64 // orders accepted since the engine started
+	Busy           bool   // whether the engine is carrying out an order
+	Versions       map[string]uint64
 }
 
 // OrderClient sends load orders to engines and fetches their reports.
