--- a/cmd/zinnialadder/node.go
+++ b/cmd/zinnialadder/node.go
@@ -95,8 +95,8 @@
 	logger := log.NewWithOptions(out, log.Options{ReportTimestamp: true, TimeFormat: "15:04:05.000", Formatter: log.LogfmtFormatter, Level: opts.level}).With("node", s.Node)
 	stdlog.SetOutput(out) // what libraries log; it must not block either
 	registry := metrics.NewRegistry()
-	store := platform.NewStore(s.Store)
-	store.Observe = func(call string, took time.Duration, err error) {
+	store := platform.NewStore(s.StoreAddress)
+	store.OnCall = func(call string, took time.Duration, err error) {
 		metrics.GetOrRegisterTimer("store."+call, registry).Update(took)
 		if err != nil && !errors.Is(err, pkgplatform.ErrNotFound) {
 			metrics.GetOrRegisterCounter("store."+call+".failed", registry).Inc(1)
@@ -104,25 +104,25 @@
 	}
 	metrics.NewRegisteredFunctionalGauge("log.lines.dropped", registry, out.Dropped)
 	var group errgroup.Group
-	links, err := listenForPeers(&group, s.Peers, store, logger, registry)
+	links, err := listenForPeers(&group, s.PeerAddress, store, logger, registry)
 	if err != nil {
 		return err
 	}
 	var cloud node.CloudProvider
-	if s.Cloud != "" {
-		cloud = platform.NewCloud(s.Cloud)
+	if s.CloudAddress != "" {
+		cloud = platform.NewCloud(s.CloudAddress)
 	}
 	n := node.New(node.Config{
-		Name: s.Node, DataCentre: s.DataCentre, Address: s.Callers, PeerAddress: s.Peers, Cores: s.Cores, Store: links, StoreReachability: links, Dial: watch.DialPeer, Upstreams: platform.NewEngines(),
-		Decoder: platform.Decoder(), Logger: logger, Metrics: registry, MaxRowBytes: s.RowBytes, MinHolderInterval: s.LeaseTime, SubmissionRetention: s.StatusTime, ShutdownGrace: s.Grace,
-		CloudProvider: cloud, UsageSchedule: usage.Schedule{Length: s.UsageWindow, ReportDelay: s.UsageLate},
+		Name: s.Node, DataCentre: s.DataCentre, Address: s.FrontAddress, PeerAddress: s.PeerAddress, Cores: s.Cores, Store: links, StoreReachability: links, Dial: watch.DialPeer, Upstreams: platform.NewUpstreamClient(),
+		Decoder: platform.Decoder(), Logger: logger, Metrics: registry, MaxRowBytes: s.MaxRowBytes, MinHolderInterval: s.MinHolderInterval, SubmissionRetention: s.SubmissionRetention, ShutdownGrace: s.ShutdownGrace,
+		CloudProvider: cloud, UsageSchedule: usage.Schedule{Length: s.UsageWindow, ReportDelay: s.UsageReportDelay},
 	})
-	callers := platform.NewCallers(n)
+	callers := platform.NewCallerAPI(n)
 	var servers []*http.Server
 	for _, part := range []struct {
 		address string
 		handler http.Handler
-	}{{s.Callers, callers.Front()}, {s.Ready, callers.ReadyHandler()}, {s.Addresses, callers.AddressHandler()}, {metricsAddress(s, opts.metricsPort), metricsHandler(registry, opts.profile)}} {
+	}{{s.FrontAddress, callers.FrontHandler()}, {s.ReadyAddress, callers.ReadyHandler()}, {s.DirectoryAddress, callers.AddressHandler()}, {metricsAddress(s, opts.metricsPort), metricsHandler(registry, opts.profile)}} {
 		if part.address == "" {
 			continue
 		}
@@ -138,12 +138,12 @@
 	links.Serve(rctx, n.Peers, n)
 	err = n.Run(ctx)
 	stopReloading()
-	sctx, cancel := context.WithTimeout(context.Background(), s.Grace/shutdownShare)
+	sctx, cancel := context.WithTimeout(context.Background(), s.ShutdownGrace/shutdownShare)
 	defer cancel()
 	for _, srv := range servers {
 		err = errors.Join(err, srv.Shutdown(sctx))
 	}
-	tctx, cancelTelling := context.WithTimeout(context.Background(), s.Grace/shutdownShare)
+	tctx, cancelTelling := context.WithTimeout(context.Background(), s.ShutdownGrace/shutdownShare)
 	defer cancelTelling()
 	n.FlushUsage(tctx)
 	return errors.Join(err, group.Wait())
@@ -152,11 +152,11 @@
 // metricsAddress returns where metrics are served, empty for nowhere.
 func metricsAddress(s platform.Settings, port int) string {
 	if port == 0 {
-		return s.Control
+		return s.ControlAddress
 	}
-	host, _, err := net.SplitHostPort(s.Callers)
+	host, _, err := net.SplitHostPort(s.FrontAddress)
 	if err != nil {
-		return s.Control
+		return s.ControlAddress
 	}
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
@@ -224,8 +224,8 @@
 			logger.Error("settings not taken, the ones in force stay", "err", err)
 			continue
 		}
-		store.SetAddress(s.Store)
-		logger.Info("settings reloaded", "store", s.Store, "bytes", len(now))
+		store.SetAddress(s.StoreAddress)
+		logger.Info("settings reloaded", "store", s.StoreAddress, "bytes", len(now))
 	}
 }
 
--- a/cmd/zinnialadder/roles.go
+++ b/cmd/zinnialadder/roles.go
@@ -90,8 +90,8 @@
 
 // plain returns the command of a stand-in with nothing but common settings.
 func plain(role, short string, handler func() http.Handler) *cobra.Command {
-	return standIn(role, short, func(s settings.Plain) settings.Common { return s.Common },
-		func(settings.Plain) http.Handler { return handler() })
+	return standIn(role, short, func(s settings.CommonOnly) settings.Common { return s.Common },
+		func(settings.CommonOnly) http.Handler { return handler() })
 }
 
 func platformCmd() *cobra.Command {
--- a/cmd/zinnialadder/site.go
+++ b/cmd/zinnialadder/site.go
@@ -49,7 +49,7 @@
 			if err := writeFile(out, func(w io.Writer) error { return snap.Write(w) }); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d rows and %d objects as of version %d, %d rows changed later\n", len(snap.Rows), len(snap.Objects), snap.Version, len(snap.Later))
+			fmt.Fprintf(cmd.OutOrStdout(), "%d rows and %d objects as of version %d, %d rows changed later\n", len(snap.Rows), len(snap.Objects), snap.Version, len(snap.ChangedSince))
 			return nil
 		},
 	}
@@ -121,5 +121,5 @@
 		return f.address, nil
 	}
 	s, err := platform.LoadSettings(f.settings)
-	return s.Store, err
+	return s.StoreAddress, err
 }
--- a/cmd/zinnialadder/soak.go
+++ b/cmd/zinnialadder/soak.go
@@ -33,8 +33,8 @@
 	f.Uint64Var(&cfg.Seed, "seed", uint64(time.Now().Unix()), "seed of the faults; by default a fresh one")
 	f.IntVar(&seeds, "seeds", 1, "how many seeds to run, one after the other")
 	f.DurationVar(&cfg.Duration, "duration", 20*time.Second, "how long faults are injected")
-	f.DurationVar(&cfg.Calm, "calm", 4*time.Second, "how long the site is left alone after that")
-	f.IntVar(&cfg.Nodes, "nodes", 4, "instances, each a process")
+	f.DurationVar(&cfg.RecoveryTime, "calm", 4*time.Second, "how long the site is left alone after that")
+	f.IntVar(&cfg.Instances, "nodes", 4, "instances, each a process")
 	f.IntVar(&cfg.Engines, "engines", 4, "model engines")
 	f.IntVar(&cfg.Services, "services", 3, "plain services")
 	return cmd
--- a/cmd/zinnialadder/versions.go
+++ b/cmd/zinnialadder/versions.go
@@ -17,7 +17,7 @@
 			"and those that open submissions ask for. With --watch it is printed again and again.",
 		Args: cobra.NoArgs,
 	}
-	view := storeView[snapshot.Versions]{tables: snapshot.ServedTables(platform.Decoder()), of: snapshot.State.ServedVersions}
+	view := storeView[snapshot.Versions]{tables: snapshot.VersionTables(platform.Decoder()), of: snapshot.State.ServedVersions}
 	view.add(cmd)
 	return cmd
 }
--- a/internal/crashtest/server.go
+++ b/internal/crashtest/server.go
@@ -22,11 +22,11 @@
 // Config configures a Server.
 type Config struct {
 	Handler http.Handler
-	// RestartAfter returns how long after a crash the server starts again; nil, or a
+	// RestartDelay returns how long after a crash the server starts again; nil, or a
 	// time of 0, for never.
-	RestartAfter func() time.Duration
-	// Started is told of each start, before the first request; nil for nothing.
-	Started func(restarted bool)
+	RestartDelay func() time.Duration
+	// OnStart is told of each start, before the first request; nil for nothing.
+	OnStart func(restarted bool)
 }
 
 // Server serves at one address, with pauses after crashes. Close it when done.
@@ -62,8 +62,8 @@
 	return s.server != nil
 }
 
-// Ends returns when the server has crashed.
-func (s *Server) Ends() []time.Time {
+// CrashTimes returns when the server has crashed.
+func (s *Server) CrashTimes() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.ends...)
@@ -71,8 +71,8 @@
 
 // begin begins a start, unless the server was closed meanwhile.
 func (s *Server) begin(ln net.Listener, restarted bool) {
-	if s.cfg.Started != nil {
-		s.cfg.Started(restarted)
+	if s.cfg.OnStart != nil {
+		s.cfg.OnStart(restarted)
 	}
 	server := &http.Server{Handler: s.cfg.Handler}
 	s.mu.Lock()
@@ -102,10 +102,10 @@
 		return
 	}
 	_ = server.Close() // what it could not close, its clients find
-	if s.cfg.RestartAfter == nil {
+	if s.cfg.RestartDelay == nil {
 		return
 	}
-	if d := s.cfg.RestartAfter(); d > 0 {
+	if d := s.cfg.RestartDelay(); d > 0 {
 		time.AfterFunc(d, s.restart)
 	}
 }
@@ -140,16 +140,16 @@
 // Poison has a Server crash under the requests that match.
 type Poison struct {
 	Match func(body []byte) bool
-	// After is how long after its beginning a request crashes the server, unless its
+	// CrashDelay is how long after its beginning a request crashes the server, unless its
 	// caller leaves before.
-	After time.Duration
+	CrashDelay time.Duration
 
 	mu   sync.Mutex
 	runs []time.Time
 }
 
-// Runs returns when requests that match began.
-func (p *Poison) Runs() []time.Time {
+// StartTimes returns when requests that match began.
+func (p *Poison) StartTimes() []time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]time.Time(nil), p.runs...)
@@ -171,7 +171,7 @@
 		p.mu.Lock()
 		p.runs = append(p.runs, time.Now())
 		p.mu.Unlock()
-		if clock.Sleep(r.Context(), p.After) {
+		if clock.Sleep(r.Context(), p.CrashDelay) {
 			server().Crash()
 		}
 	})
--- a/internal/deployfile/deployfile.go
+++ b/internal/deployfile/deployfile.go
@@ -24,15 +24,15 @@
 
 // Role is a program and the machines that run it.
 type Role struct {
-	Run      string            `toml:"run"` // the program and its arguments, split at spaces
-	On       string            `toml:"on"`  // class of machines
-	Share    *float64          `toml:"share"`
-	Count    *int              `toml:"count"` // of machines in each data centre, in place of Share
-	Apart    bool              `toml:"apart"`
-	Serves   []string          `toml:"serves"`
-	Metrics  string            `toml:"metrics"` // PORT/PATH
-	Template string            `toml:"template"`
-	Env      map[string]string `toml:"env"`
+	Command      string            `toml:"run"` // the program and its arguments, split at spaces
+	MachineClass string            `toml:"on"`  // class of machines
+	Share        *float64          `toml:"share"`
+	Count        *int              `toml:"count"` // of machines in each data centre, in place of Share
+	Apart        bool              `toml:"apart"`
+	Serves       []string          `toml:"serves"`
+	Metrics      string            `toml:"metrics"` // PORT/PATH
+	Template     string            `toml:"template"`
+	Env          map[string]string `toml:"env"`
 }
 
 // Interfaces that a role may serve.
@@ -129,14 +129,14 @@
 		if err := r.check(); err != nil {
 			return name, fmt.Errorf("role %s: %w", name, err)
 		}
-		if ofClass[r.On]++; ofClass[r.On] > maxRolesOfClass {
-			return name, fmt.Errorf("role %s: machines of class %s run %d roles at the most", name, r.On, maxRolesOfClass)
+		if ofClass[r.MachineClass]++; ofClass[r.MachineClass] > maxRolesOfClass {
+			return name, fmt.Errorf("role %s: machines of class %s run %d roles at the most", name, r.MachineClass, maxRolesOfClass)
 		}
 		for _, s := range r.Serves {
-			if other := served[r.On+"/"+s]; other != "" {
-				return name, fmt.Errorf("role %s: role %s serves %s on class %s already", name, other, s, r.On)
+			if other := served[r.MachineClass+"/"+s]; other != "" {
+				return name, fmt.Errorf("role %s: role %s serves %s on class %s already", name, other, s, r.MachineClass)
 			}
-			served[r.On+"/"+s] = name
+			served[r.MachineClass+"/"+s] = name
 		}
 	}
 	for _, s := range []string{servesCallers, servesAddresses} {
@@ -149,9 +149,9 @@
 
 func (r Role) check() error {
 	switch {
-	case strings.TrimSpace(r.Run) == "":
+	case strings.TrimSpace(r.Command) == "":
 		return errors.New("run: a program is required")
-	case r.On == "":
+	case r.MachineClass == "":
 		return errors.New("on: a class of machines is required")
 	case r.Share == nil && r.Count == nil:
 		return errors.New("share or count is required")
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -24,10 +24,10 @@
 
 // Trainer is one trainer's load.
 type Trainer struct {
-	Entry  string
-	Groups int // groups in a step
-	Size   int // generations in a group
-	Tokens int // tokens of most generations; one group in eight has three times as many
+	Entry       string
+	Groups      int // groups in a step
+	GroupSize   int // generations in a group
+	UsualTokens int // tokens of most generations; one group in eight has three times as many
 }
 
 // Deployment is one of the brief's deployments, as the experiment sees it.
@@ -41,19 +41,19 @@
 // The brief's deployments, with the steps their trainers submit.
 var (
 	Minho = Deployment{Name: "minho", Engines: 9, Entries: 3, Trainers: []Trainer{
-		{Entry: "script-draft", Groups: 9, Size: 8, Tokens: 14},
-		{Entry: "call-summary", Groups: 19, Size: 4, Tokens: 24}}}
+		{Entry: "script-draft", Groups: 9, GroupSize: 8, UsualTokens: 14},
+		{Entry: "call-summary", Groups: 19, GroupSize: 4, UsualTokens: 24}}}
 	Rodokmen = Deployment{Name: "rodokmen", Engines: 9, Entries: 3, Trainers: []Trainer{
-		{Entry: "match-batch", Groups: 18, Size: 8, Tokens: 16}}}
+		{Entry: "match-batch", Groups: 18, GroupSize: 8, UsualTokens: 16}}}
 )
 
 // Policy is one way to run steps and rollouts.
 type Policy struct {
-	Name        string
-	DesiredPart float64 // share of a step's groups the trainer waits for
-	HedgeFactor float64 // of step.Policy; 0 for no hedging
-	MaxLoading  int     // engines loading at once
-	SlowFrom    float64 // of entry.Config; negative for taking no engine for slow
+	Name         string
+	DesiredShare float64 // share of a step's groups the trainer waits for
+	HedgeFactor  float64 // of step.Policy; 0 for no hedging
+	MaxLoading   int     // engines loading at once
+	SlowFrom     float64 // of entry.Config; negative for taking no engine for slow
 }
 
 // Config says what to run.
@@ -150,14 +150,14 @@
 func spec(cfg Config, tr Trainer, k int) step.Spec {
 	rnd := rand.New(rand.NewPCG(cfg.Seed, uint64(k)))
 	s := step.Spec{Customer: cfg.Deployment.Name, Entry: tr.Entry, ID: fmt.Sprintf("%s-%d", tr.Entry, k),
-		Desired: max(1, int(cfg.Policy.DesiredPart*float64(tr.Groups)+0.5)), Deadline: time.Now().Add(stepDue)}
+		Desired: max(1, int(cfg.Policy.DesiredShare*float64(tr.Groups)+0.5)), Deadline: time.Now().Add(stepDue)}
 	for i := range tr.Groups {
-		tokens := tr.Tokens
+		tokens := tr.UsualTokens
 		if rnd.IntN(8) == 0 {
 			tokens *= 3
 		}
 		s.Groups = append(s.Groups, step.Group{ID: fmt.Sprintf("%s-%d-%d", tr.Entry, k, i), Prompt: fmt.Sprintf("%s prompt %d of step %d", tr.Entry, i, k),
-			Size: tr.Size, MaxTokens: tokens})
+			Size: tr.GroupSize, MaxTokens: tokens})
 	}
 	return s
 }
--- a/internal/experiment/meter.go
+++ b/internal/experiment/meter.go
@@ -97,7 +97,7 @@
 	defer m.mu.Unlock()
 	n := 0
 	for i := range tr.Groups {
-		if m.whole[fmt.Sprintf("%s-%d-%d", tr.Entry, k, i)] == tr.Size {
+		if m.whole[fmt.Sprintf("%s-%d-%d", tr.Entry, k, i)] == tr.GroupSize {
 			n++
 		}
 	}
@@ -161,14 +161,14 @@
 // Policies are the ways compared: baselines of this project's own first,
 // the default last.
 var Policies = []Policy{
-	{Name: "every group, no hedging, none slow", DesiredPart: 1, MaxLoading: 3, SlowFrom: -1},
-	{Name: "every group, no hedging", DesiredPart: 1, MaxLoading: 3},
-	{Name: "desired groups, no hedging", DesiredPart: 0.9, MaxLoading: 3},
-	{Name: "desired, hedging 2x, 1 loading", DesiredPart: 0.9, HedgeFactor: 2, MaxLoading: 1},
-	{Name: "desired, hedging 2x, 9 loading", DesiredPart: 0.9, HedgeFactor: 2, MaxLoading: 9},
-	{Name: "desired, hedging 1.3x, 3 loading", DesiredPart: 0.9, HedgeFactor: 1.3, MaxLoading: 3},
-	{Name: "desired, hedging 2x, 3 loading, none slow", DesiredPart: 0.9, HedgeFactor: 2, MaxLoading: 3, SlowFrom: -1},
-	{Name: "desired, hedging 2x, 3 loading", DesiredPart: 0.9, HedgeFactor: 2, MaxLoading: 3},
+	{Name: "every group, no hedging, none slow", DesiredShare: 1, MaxLoading: 3, SlowFrom: -1},
+	{Name: "every group, no hedging", DesiredShare: 1, MaxLoading: 3},
+	{Name: "desired groups, no hedging", DesiredShare: 0.9, MaxLoading: 3},
+	{Name: "desired, hedging 2x, 1 loading", DesiredShare: 0.9, HedgeFactor: 2, MaxLoading: 1},
+	{Name: "desired, hedging 2x, 9 loading", DesiredShare: 0.9, HedgeFactor: 2, MaxLoading: 9},
+	{Name: "desired, hedging 1.3x, 3 loading", DesiredShare: 0.9, HedgeFactor: 1.3, MaxLoading: 3},
+	{Name: "desired, hedging 2x, 3 loading, none slow", DesiredShare: 0.9, HedgeFactor: 2, MaxLoading: 3, SlowFrom: -1},
+	{Name: "desired, hedging 2x, 3 loading", DesiredShare: 0.9, HedgeFactor: 2, MaxLoading: 3},
 }
 
 // WriteReport writes results as a Markdown table.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -17,11 +17,11 @@
 
 // Line is one log line.
 type Line struct {
-	At     string // as written
-	Level  string
-	What   string
-	Node   string
-	Fields []Field // the others, in order
+	Time    string // as written
+	Level   string
+	Message string
+	Node    string
+	Fields  []Field // the others, in order
 
 	at    time.Time
 	order int
@@ -82,19 +82,19 @@
 		name, value := string(d.Key()), string(d.Value())
 		switch name {
 		case "time":
-			l.At = value
+			l.Time = value
 			l.at, _ = time.Parse(clockFormat, value) // lines without one sort first
 		case "level":
 			l.Level = value
 		case "msg":
-			l.What = value
+			l.Message = value
 		case "node":
 			l.Node = value
 		default:
 			l.Fields = append(l.Fields, Field{name, value})
 		}
 	}
-	return l, d.Err() == nil && l.What != ""
+	return l, d.Err() == nil && l.Message != ""
 }
 
 // Explanation is what the logs tell of one ID.
@@ -162,9 +162,9 @@
 // upstreams, instances and submissions.
 func (l Line) bearsOn(upstreams, nodes, submissions map[string]bool) bool {
 	switch {
-	case l.What == "upstream" || l.What == "upstream gone" || l.What == "entry not usable" || l.What == "order" || l.What == "load":
+	case l.Message == "upstream" || l.Message == "upstream gone" || l.Message == "entry not usable" || l.Message == "order" || l.Message == "load":
 		return upstreams[l.Get("upstream")] && nodes[l.Node]
-	case slices.Contains(dependencies, l.What):
+	case slices.Contains(dependencies, l.Message):
 		return nodes[l.Node]
 	}
 	return l.Get("submission") != "" && submissions[l.Get("submission")] && l.Get("item") == ""
@@ -187,7 +187,7 @@
 
 func (l Line) text() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s at %s on %s", l.What, l.At, l.Node)
+	fmt.Fprintf(&b, "%s at %s on %s", l.Message, l.Time, l.Node)
 	for _, f := range l.Fields {
 		if f.Value != "" && f.Value != "null" && f.Value != "0" {
 			fmt.Fprintf(&b, " %s=%q", f.Name, f.Value)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -75,18 +75,18 @@
 		t.Fatal(err)
 	}
 	s := explain.Summarize(ls)
-	if len(s.Courses) != 1 || s.NotKept != 1 {
+	if len(s.Submissions) != 1 || s.Rejections != 1 {
 		t.Fatalf("%+v", s)
 	}
-	c, sum := s.Courses[0], time.Duration(0)
-	for _, d := range c.Parts {
+	c, sum := s.Submissions[0], time.Duration(0)
+	for _, d := range c.Phases {
 		sum += d
 	}
-	if c.Took != 5500*time.Millisecond || sum != c.Took || c.Runs != 2 || c.Attempts != 7 || c.Refused != 2 {
+	if c.Duration != 5500*time.Millisecond || sum != c.Duration || c.Runs != 2 || c.Attempts != 7 || c.EmptyAttempts != 2 {
 		t.Fatalf("%+v, parts add up to %v", c, sum)
 	}
-	if c.Parts[explain.Generating] != 3500*time.Millisecond || c.Parts[explain.Owner] != 50*time.Millisecond || c.Parts[explain.Other] != 1050*time.Millisecond {
-		t.Fatalf("%+v", c.Parts)
+	if c.Phases[explain.Generating] != 3500*time.Millisecond || c.Phases[explain.NoOwner] != 50*time.Millisecond || c.Phases[explain.Other] != 1050*time.Millisecond {
+		t.Fatalf("%+v", c.Phases)
 	}
 	var out bytes.Buffer
 	if err := s.Write(&out, 5); err != nil || !strings.Contains(out.String(), "all 1") || !strings.Contains(out.String(), "turned away: 1") {
--- a/internal/httpjson/client.go
+++ b/internal/httpjson/client.go
@@ -12,8 +12,8 @@
 // Client sends JSON requests to one server. The clients of the protocols are
 // built on it.
 type Client struct {
-	Base string // URL that paths are added to, such as "http://127.0.0.1:7101"
-	HTTP *http.Client
+	BaseURL string // URL that paths are added to, such as "http://127.0.0.1:7101"
+	HTTP    *http.Client
 }
 
 // NewClient returns a Client for the server at base. A nil hc means
@@ -22,7 +22,7 @@
 	if hc == nil {
 		hc = http.DefaultClient
 	}
-	return Client{Base: base, HTTP: hc}
+	return Client{BaseURL: base, HTTP: hc}
 }
 
 // Send sends in (nil for no body) to path with method and returns the answer,
@@ -36,7 +36,7 @@
 		}
 		body = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, c.BaseURL+path, body)
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		return Refused(resp)
+		return NewStatusError(resp)
 	}
 	if out == nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
@@ -70,9 +70,9 @@
 // maxReason is how much of a refusal's body is kept.
 const maxReason = 4096
 
-// Refused returns the error of an answer whose status was not the one
+// NewStatusError returns the error of an answer whose status was not the one
 // expected, with what its body says.
-func Refused(resp *http.Response) *StatusError {
+func NewStatusError(resp *http.Response) *StatusError {
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxReason))
 	return &StatusError{Status: resp.StatusCode, Header: resp.Header, Body: string(bytes.TrimSpace(b))}
 }
--- a/internal/loadsim/loadsim.go
+++ b/internal/loadsim/loadsim.go
@@ -14,41 +14,41 @@
 
 // Load is a load and the site that it meets.
 type Load struct {
-	Instances int
-	Upstreams int
-	Slots     int           // requests that an upstream serves at once
-	Queue     int           // requests that wait at an upstream before it turns others away
-	Work      time.Duration // mean time of a request at an upstream, exponentially distributed
-	Objective time.Duration
-	Timeout   time.Duration // callers wait so long
-	Attempts  int           // of a caller, the first included
+	Instances        int
+	Upstreams        int
+	Slots            int           // requests that an upstream serves at once
+	QueueLimit       int           // requests that wait at an upstream before it turns others away
+	ServiceTime      time.Duration // mean time of a request at an upstream, exponentially distributed
+	LatencyObjective time.Duration
+	Timeout          time.Duration // callers wait so long
+	MaxAttempts      int           // of a caller, the first included
 
-	Rate       float64       // requests offered, in parts of what the upstreams can serve
-	Burst      float64       // Rate from BurstAt on for BurstTime
-	BurstAt    time.Duration // after the start
-	BurstTime  time.Duration
-	Lost       int           // upstreams that take no connection from LostAt on for LostTime
-	LostAt     time.Duration // after the start
-	LostTime   time.Duration
-	Slow       int // upstreams whose work takes SlowFactor times as long
-	SlowFactor float64
-	Time       time.Duration // callers' first attempts stop after it; longer than Timeout
-	Seed       uint64
+	Rate            float64       // requests offered, in parts of what the upstreams can serve
+	BurstRate       float64       // Rate from BurstAt on for BurstTime
+	BurstStart      time.Duration // after the start
+	BurstDuration   time.Duration
+	OutageUpstreams int           // upstreams that take no connection from LostAt on for LostTime
+	OutageStart     time.Duration // after the start
+	OutageDuration  time.Duration
+	SlowUpstreams   int // upstreams whose work takes SlowFactor times as long
+	SlowFactor      float64
+	Duration        time.Duration // callers' first attempts stop after it; longer than Timeout
+	Seed            uint64
 }
 
 // Minho is the load of a plain service of the brief's smaller deployment.
-var Minho = Load{Instances: 10, Upstreams: 3, Slots: 6, Queue: 3, Work: 40 * time.Millisecond,
-	Objective: 150 * time.Millisecond, Timeout: 2 * time.Second, Attempts: 4, Rate: 0.7, Time: 10 * time.Second, Seed: 1}
+var Minho = Load{Instances: 10, Upstreams: 3, Slots: 6, QueueLimit: 3, ServiceTime: 40 * time.Millisecond,
+	LatencyObjective: 150 * time.Millisecond, Timeout: 2 * time.Second, MaxAttempts: 4, Rate: 0.7, Duration: 10 * time.Second, Seed: 1}
 
 // capacity is how many requests a second the upstreams serve at the most.
 func (l Load) capacity() float64 {
-	return float64(l.Upstreams*l.Slots) / l.Work.Seconds()
+	return float64(l.Upstreams*l.Slots) / l.ServiceTime.Seconds()
 }
 
 // rate returns the requests offered a second at a time after the start.
 func (l Load) rate(after time.Duration) float64 {
-	if l.Burst > 0 && after >= l.BurstAt && after < l.BurstAt+l.BurstTime {
-		return l.Burst * l.capacity()
+	if l.BurstRate > 0 && after >= l.BurstStart && after < l.BurstStart+l.BurstDuration {
+		return l.BurstRate * l.capacity()
 	}
 	return l.Rate * l.capacity()
 }
@@ -56,10 +56,10 @@
 // Policy is a way to turn requests away.
 type Policy struct {
 	Name string
-	// Return returns when the caller of a rejected request comes back.
-	Return func(r *forward.RetryScheduler, now, deadline time.Time, draw float64) time.Time
-	// Hold has requests that find no room wait for it until their deadline.
-	Hold bool
+	// RetryAt returns when the caller of a rejected request comes back.
+	RetryAt func(r *forward.RetryScheduler, now, deadline time.Time, draw float64) time.Time
+	// WaitForSlot has requests that find no room wait for it until their deadline.
+	WaitForSlot bool
 }
 
 // constantReturn is the pause of the Constant policy.
@@ -67,27 +67,27 @@
 
 // The policies: the product's, an earlier version of it, and the plain way.
 var (
-	Spread = Policy{Name: "spread", Return: func(r *forward.RetryScheduler, now, deadline time.Time, draw float64) time.Time {
+	SpreadRetries = Policy{Name: "spread", RetryAt: func(r *forward.RetryScheduler, now, deadline time.Time, draw float64) time.Time {
 		return r.Reject(pool, now, deadline, draw)
 	}}
-	Constant = Policy{Name: "constant", Return: func(_ *forward.RetryScheduler, now, _ time.Time, _ float64) time.Time {
+	ConstantBackoff = Policy{Name: "constant", RetryAt: func(_ *forward.RetryScheduler, now, _ time.Time, _ float64) time.Time {
 		return now.Add(constantReturn)
 	}}
-	Hold     = Policy{Name: "hold", Hold: true, Return: Constant.Return}
-	Policies = []Policy{Spread, Constant, Hold}
+	WaitAtInstance = Policy{Name: "hold", WaitForSlot: true, RetryAt: ConstantBackoff.RetryAt}
+	Policies       = []Policy{SpreadRetries, ConstantBackoff, WaitAtInstance}
 )
 
 // Result is what callers saw.
 type Result struct {
-	Policy   string
-	Rate     float64 // offered, in parts of the capacity
-	Goodput  float64 // requests answered in their time, in parts of the capacity, once returning callers are among them
-	InTime   float64 // share of the requests offered that were answered within the objective
-	Answered float64 // share answered within the caller's time
-	P50, P99 time.Duration
-	Attempts float64       // at upstreams, for each request offered
-	Worst    float64       // least share answered of the requests that came in one second
-	Held     time.Duration // longest time that an attempt was held and then turned away untried
+	Policy          string
+	Rate            float64 // offered, in parts of the capacity
+	Goodput         float64 // requests answered in their time, in parts of the capacity, once returning callers are among them
+	WithinObjective float64 // share of the requests offered that were answered within the objective
+	Answered        float64 // share answered within the caller's time
+	P50, P99        time.Duration
+	Attempts        float64       // at upstreams, for each request offered
+	WorstSecond     float64       // least share answered of the requests that came in one second
+	MaxWait         time.Duration // longest time that an attempt was held and then turned away untried
 }
 
 // Run plays load under policy.
@@ -102,7 +102,7 @@
 
 // route is the route of all requests.
 func (l Load) route() routetable.Route {
-	return routetable.Route{Name: "load", Kind: routetable.Idempotent, Timeout: l.Timeout, LatencyObjective: l.Objective, MaxAttempts: 2,
+	return routetable.Route{Name: "load", Kind: routetable.Idempotent, Timeout: l.Timeout, LatencyObjective: l.LatencyObjective, MaxAttempts: 2,
 		Shares: []routetable.Share{{Pool: pool, Weight: 1}}}
 }
 
--- a/internal/loadsim/loadsim_test.go
+++ b/internal/loadsim/loadsim_test.go
@@ -21,22 +21,22 @@
 // that the load can tell.
 func TestGoodputIsFlatPastTheKnee(t *testing.T) {
 	load := loadsim.Minho
-	load.Time = 6 * time.Second
+	load.Duration = 6 * time.Second
 	at := func(rate float64, p loadsim.Policy) loadsim.Result {
 		load.Rate = rate
 		return mean(load, p)
 	}
-	knee := at(1, loadsim.Spread)
+	knee := at(1, loadsim.SpreadRetries)
 	if knee.Goodput < 0.9 {
 		t.Fatalf("goodput %.3f at the capacity", knee.Goodput)
 	}
 	for _, rate := range []float64{1.5, 2, 3, 4} {
-		r := at(rate, loadsim.Spread)
+		r := at(rate, loadsim.SpreadRetries)
 		if r.Goodput < 0.97*knee.Goodput || r.Attempts > 2 {
 			t.Errorf("goodput %.3f with %.2f attempts each at %.1f times the capacity, %.3f at the knee", r.Goodput, r.Attempts, rate, knee.Goodput)
 		}
 	}
-	if held := at(4, loadsim.Hold); held.Goodput > 0.9*knee.Goodput {
+	if held := at(4, loadsim.WaitAtInstance); held.Goodput > 0.9*knee.Goodput {
 		t.Errorf("goodput %.3f when requests are held: the load does not press", held.Goodput)
 	}
 }
@@ -45,11 +45,11 @@
 // its objective.
 func TestRejectsEarly(t *testing.T) {
 	load := loadsim.Minho
-	load.Rate, load.Time = 3, 3*time.Second
+	load.Rate, load.Duration = 3, 3*time.Second
 	for _, objective := range []time.Duration{20 * time.Millisecond, 150 * time.Millisecond, time.Second} {
-		load.Objective = objective
-		if r := loadsim.Run(load, loadsim.Spread); r.Held > objective/4 {
-			t.Errorf("held %v of an objective of %v", r.Held, objective)
+		load.LatencyObjective = objective
+		if r := loadsim.Run(load, loadsim.SpreadRetries); r.MaxWait > objective/4 {
+			t.Errorf("held %v of an objective of %v", r.MaxWait, objective)
 		}
 	}
 }
@@ -58,9 +58,9 @@
 // when their returns are spread than when all pause for the same time.
 func TestSpreadReturnsServeABurst(t *testing.T) {
 	load := loadsim.Minho
-	load.Time = 4 * time.Second
-	load.Burst, load.BurstAt, load.BurstTime = 6, time.Second, 300*time.Millisecond
-	spread, constant := mean(load, loadsim.Spread), mean(load, loadsim.Constant)
+	load.Duration = 4 * time.Second
+	load.BurstRate, load.BurstStart, load.BurstDuration = 6, time.Second, 300*time.Millisecond
+	spread, constant := mean(load, loadsim.SpreadRetries), mean(load, loadsim.ConstantBackoff)
 	t.Logf("answered %.3f with spread returns, %.3f with constant ones", spread.Answered, constant.Answered)
 	if spread.Answered < constant.Answered+0.01 {
 		t.Errorf("answered %.3f with spread returns, %.3f with constant ones", spread.Answered, constant.Answered)
@@ -77,7 +77,7 @@
 		load := loadsim.CallSummary
 		load.Seed = seed
 		for _, p := range loadsim.StepPolicies {
-			sums[p.Name] += loadsim.RunStep(load, p).Desired / steps
+			sums[p.Name] += loadsim.RunStep(load, p).DesiredTime / steps
 		}
 	}
 	first, listed := sums[loadsim.LongestFirst.Name], sums[loadsim.AsListed.Name]
@@ -95,8 +95,8 @@
 	for seed := range uint64(steps) {
 		load := loadsim.CallSummary
 		load.Seed, load.SlowEngines, load.SlowFactor = seed, 1, 4
-		moving += loadsim.RunStep(load, loadsim.LongestFirst).Desired / steps
-		staying += loadsim.RunStep(load, loadsim.Staying).Desired / steps
+		moving += loadsim.RunStep(load, loadsim.LongestFirst).DesiredTime / steps
+		staying += loadsim.RunStep(load, loadsim.WithoutMoves).DesiredTime / steps
 	}
 	t.Logf("the groups waited for are whole after %v, %v when texts stay", moving, staying)
 	if moving > staying*8/10 {
@@ -116,9 +116,9 @@
 		load.Seed, load.SlowEngines, load.SlowFactor = seed, 2, 3.2
 		r := loadsim.RunStep(load, loadsim.LongestFirst)
 		moves += r.Moves
-		moving += r.Desired / steps
-		staying += loadsim.RunStep(load, loadsim.Staying).Desired / steps
-		items += load.Groups * load.Size
+		moving += r.DesiredTime / steps
+		staying += loadsim.RunStep(load, loadsim.WithoutMoves).DesiredTime / steps
+		items += load.Groups * load.GroupSize
 	}
 	t.Logf("%.2f moves an item; the groups waited for are whole after %v, %v when texts stay", float64(moves)/float64(items), moving, staying)
 	if moves > items/2 || moving > staying*8/10 {
@@ -131,11 +131,11 @@
 // again in the second after they are back.
 func TestHalfOfTheUpstreamsLost(t *testing.T) {
 	load := loadsim.Minho
-	load.Upstreams, load.Rate, load.Time = 4, 0.45, 8*time.Second
-	load.Lost, load.LostAt, load.LostTime = 2, 2*time.Second, 2*time.Second
-	r := mean(load, loadsim.Spread)
-	if r.Answered < 0.99 || r.Worst < 0.95 || r.InTime < 0.93 {
-		t.Errorf("answered %.3f, in the worst second %.3f, in time %.3f, with nine tenths of what is left asked", r.Answered, r.Worst, r.InTime)
+	load.Upstreams, load.Rate, load.Duration = 4, 0.45, 8*time.Second
+	load.OutageUpstreams, load.OutageStart, load.OutageDuration = 2, 2*time.Second, 2*time.Second
+	r := mean(load, loadsim.SpreadRetries)
+	if r.Answered < 0.99 || r.WorstSecond < 0.95 || r.WithinObjective < 0.93 {
+		t.Errorf("answered %.3f, in the worst second %.3f, in time %.3f, with nine tenths of what is left asked", r.Answered, r.WorstSecond, r.WithinObjective)
 	}
 }
 
@@ -143,12 +143,12 @@
 // turned away meanwhile are served after it, and do not overrun them.
 func TestAllBackAtOnce(t *testing.T) {
 	load := loadsim.Minho
-	load.Rate, load.Time = 0.6, 8*time.Second
-	load.Lost, load.LostAt, load.LostTime = load.Upstreams, 3*time.Second, time.Second
-	spread, constant := mean(load, loadsim.Spread), mean(load, loadsim.Constant)
-	t.Logf("worst second %.3f, %.3f with constant returns", spread.Worst, constant.Worst)
-	if spread.Worst < constant.Worst || spread.Worst < 0.6 {
-		t.Errorf("worst second %.3f, %.3f with constant returns", spread.Worst, constant.Worst)
+	load.Rate, load.Duration = 0.6, 8*time.Second
+	load.OutageUpstreams, load.OutageStart, load.OutageDuration = load.Upstreams, 3*time.Second, time.Second
+	spread, constant := mean(load, loadsim.SpreadRetries), mean(load, loadsim.ConstantBackoff)
+	t.Logf("worst second %.3f, %.3f with constant returns", spread.WorstSecond, constant.WorstSecond)
+	if spread.WorstSecond < constant.WorstSecond || spread.WorstSecond < 0.6 {
+		t.Errorf("worst second %.3f, %.3f with constant returns", spread.WorstSecond, constant.WorstSecond)
 	}
 }
 
@@ -156,9 +156,9 @@
 // answer in time, where a third would have it from that one.
 func TestOneSlowUpstream(t *testing.T) {
 	load := loadsim.Minho
-	load.Rate, load.Time, load.Slow, load.SlowFactor = 0.4, 6*time.Second, 1, 5
-	if r := mean(load, loadsim.Spread); r.InTime < 0.9 || r.Answered < 0.99 {
-		t.Errorf("in time %.3f, answered %.3f", r.InTime, r.Answered)
+	load.Rate, load.Duration, load.SlowUpstreams, load.SlowFactor = 0.4, 6*time.Second, 1, 5
+	if r := mean(load, loadsim.SpreadRetries); r.WithinObjective < 0.9 || r.Answered < 0.99 {
+		t.Errorf("in time %.3f, answered %.3f", r.WithinObjective, r.Answered)
 	}
 }
 
@@ -167,8 +167,8 @@
 // half.
 func TestTrainersOfUnequalSize(t *testing.T) {
 	small, large := loadsim.CallSummary, loadsim.CallSummary
-	small.Size = 8
-	large.Size = 3 * small.Size
+	small.GroupSize = 8
+	large.GroupSize = 3 * small.GroupSize
 	var ids []string
 	for i := range 9 {
 		ids = append(ids, string(rune('a'+i)))
@@ -180,8 +180,8 @@
 		for seed := range uint64(steps) {
 			small.Seed, large.Seed = seed, seed
 			small.Engines, large.Engines = ofSmall, ofLarge
-			a += loadsim.RunStep(small, loadsim.LongestFirst).Desired / steps
-			b += loadsim.RunStep(large, loadsim.LongestFirst).Desired / steps
+			a += loadsim.RunStep(small, loadsim.LongestFirst).DesiredTime / steps
+			b += loadsim.RunStep(large, loadsim.LongestFirst).DesiredTime / steps
 		}
 		t.Logf("%d and %d engines: whole after %v and %v", ofSmall, ofLarge, a, b)
 		return max(a, b)
--- a/internal/loadsim/meter.go
+++ b/internal/loadsim/meter.go
@@ -17,23 +17,23 @@
 }
 
 func (m *meter) result(load Load, p Policy) Result {
-	r := Result{Policy: p.Name, Rate: load.Rate, Held: most(m.held),
-		Goodput: float64(m.steady) / (load.Time - load.Timeout).Seconds() / load.capacity()}
+	r := Result{Policy: p.Name, Rate: load.Rate, MaxWait: most(m.held),
+		Goodput: float64(m.steady) / (load.Duration - load.Timeout).Seconds() / load.capacity()}
 	if m.offered > 0 {
 		offered := float64(m.offered)
 		r.Answered = float64(len(m.answered)) / offered
 		r.Attempts = float64(m.attempts) / offered
 		inTime := 0
 		for _, d := range m.answered {
-			if d <= load.Objective {
+			if d <= load.LatencyObjective {
 				inTime++
 			}
 		}
-		r.InTime = float64(inTime) / offered
+		r.WithinObjective = float64(inTime) / offered
 	}
-	r.Worst = 1
+	r.WorstSecond = 1
 	for second, n := range m.came {
-		r.Worst = min(r.Worst, float64(m.served[second])/float64(n))
+		r.WorstSecond = min(r.WorstSecond, float64(m.served[second])/float64(n))
 	}
 	slices.Sort(m.answered)
 	r.P50, r.P99 = quantile(m.answered, 0.5), quantile(m.answered, 0.99)
@@ -54,7 +54,7 @@
 func (m *meter) answer(load Load, after, took, came time.Duration) {
 	m.answered = append(m.answered, took)
 	m.served[int(came/time.Second)]++
-	if after >= load.Timeout && after < load.Time {
+	if after >= load.Timeout && after < load.Duration {
 		m.steady++
 	}
 }
--- a/internal/loadsim/report.go
+++ b/internal/loadsim/report.go
@@ -20,13 +20,13 @@
 	n := float64(len(results))
 	for _, r := range results {
 		out.Goodput += r.Goodput / n
-		out.InTime += r.InTime / n
+		out.WithinObjective += r.WithinObjective / n
 		out.Answered += r.Answered / n
 		out.Attempts += r.Attempts / n
-		out.Worst += r.Worst / n
+		out.WorstSecond += r.WorstSecond / n
 		out.P50 += r.P50 / time.Duration(len(results))
 		out.P99 += r.P99 / time.Duration(len(results))
-		out.Held = max(out.Held, r.Held)
+		out.MaxWait = max(out.MaxWait, r.MaxWait)
 	}
 	return out
 }
@@ -59,8 +59,8 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "policy\toffered\tgoodput\tanswered\tin objective\tp50\tp99\tattempts\theld untried\t")
 	for _, r := range results {
-		fmt.Fprintf(t, "%s\t%.2f\t%.3f\t%.3f\t%.3f\t%d ms\t%d ms\t%.2f\t%d ms\t\n", r.Policy, r.Rate, r.Goodput, r.Answered, r.InTime,
-			r.P50.Milliseconds(), r.P99.Milliseconds(), r.Attempts, r.Held.Milliseconds())
+		fmt.Fprintf(t, "%s\t%.2f\t%.3f\t%.3f\t%.3f\t%d ms\t%d ms\t%.2f\t%d ms\t\n", r.Policy, r.Rate, r.Goodput, r.Answered, r.WithinObjective,
+			r.P50.Milliseconds(), r.P99.Milliseconds(), r.Attempts, r.MaxWait.Milliseconds())
 	}
 	return t.Flush()
 }
@@ -85,20 +85,20 @@
 	return c.Render(chart.SVG, w)
 }
 
-// SweptStep is a step load under a policy, played with many seeds.
-type SweptStep struct {
-	Policy  string
-	Engines int
-	Slow    int           // engines that are slow
-	Desired time.Duration // mean time until the groups waited for were whole
-	Worst   time.Duration // its 90th percentile
-	All     time.Duration // mean time until all were
+// StepSummary is a step load under a policy, played with many seeds.
+type StepSummary struct {
+	Policy      string
+	Engines     int
+	SlowEngines int           // engines that are slow
+	DesiredTime time.Duration // mean time until the groups waited for were whole
+	DesiredP90  time.Duration // its 90th percentile
+	AllTime     time.Duration // mean time until all were
 }
 
 // SweepSteps plays load with each number of engines, without and with a slow one,
 // under each policy with seeds many seeds.
-func SweepSteps(load StepLoad, policies []StepPolicy, engines []int, slowFactor float64, seeds int) []SweptStep {
-	var out []SweptStep
+func SweepSteps(load StepLoad, policies []StepPolicy, engines []int, slowFactor float64, seeds int) []StepSummary {
+	var out []StepSummary
 	load.SlowFactor = slowFactor
 	for _, load.SlowEngines = range []int{0, 1} {
 		for _, load.Engines = range engines {
@@ -110,27 +110,27 @@
 	return out
 }
 
-func playSteps(load StepLoad, p StepPolicy, seeds int) SweptStep {
-	out := SweptStep{Policy: p.Name, Engines: load.Engines, Slow: load.SlowEngines}
+func playSteps(load StepLoad, p StepPolicy, seeds int) StepSummary {
+	out := StepSummary{Policy: p.Name, Engines: load.Engines, SlowEngines: load.SlowEngines}
 	var desired []time.Duration
 	for seed := range uint64(seeds) {
 		load.Seed = seed
 		r := RunStep(load, p)
-		desired = append(desired, r.Desired)
-		out.Desired += r.Desired / time.Duration(seeds)
-		out.All += r.All / time.Duration(seeds)
+		desired = append(desired, r.DesiredTime)
+		out.DesiredTime += r.DesiredTime / time.Duration(seeds)
+		out.AllTime += r.AllTime / time.Duration(seeds)
 	}
 	slices.Sort(desired)
-	out.Worst = quantile(desired, 0.9)
+	out.DesiredP90 = quantile(desired, 0.9)
 	return out
 }
 
 // WriteSteps writes swept steps as a table.
-func WriteSteps(w io.Writer, steps []SweptStep) error {
+func WriteSteps(w io.Writer, steps []StepSummary) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "engines\tslow\tpolicy\tdesired\tdesired p90\tall\t")
 	for _, s := range steps {
-		fmt.Fprintf(t, "%d\t%d\t%s\t%.2f s\t%.2f s\t%.2f s\t\n", s.Engines, s.Slow, s.Policy, s.Desired.Seconds(), s.Worst.Seconds(), s.All.Seconds())
+		fmt.Fprintf(t, "%d\t%d\t%s\t%.2f s\t%.2f s\t%.2f s\t\n", s.Engines, s.SlowEngines, s.Policy, s.DesiredTime.Seconds(), s.DesiredP90.Seconds(), s.AllTime.Seconds())
 	}
 	return t.Flush()
 }
--- a/internal/loadsim/server.go
+++ b/internal/loadsim/server.go
@@ -31,7 +31,7 @@
 // away reports whether the upstream takes no connection at now.
 func (u *server) away(now time.Time) bool {
 	l, after := u.site.load, now.Sub(u.site.start)
-	return u.lost && after >= l.LostAt && after < l.LostAt+l.LostTime
+	return u.lost && after >= l.OutageStart && after < l.OutageStart+l.OutageDuration
 }
 
 func (u *server) load() upstream.Load {
@@ -44,7 +44,7 @@
 	switch l := u.site.load; {
 	case u.running < l.Slots:
 		u.run(now, j)
-	case len(u.waiting) < l.Queue:
+	case len(u.waiting) < l.QueueLimit:
 		u.waiting = append(u.waiting, j)
 	default:
 		j.answer(now, u.load(), false)
@@ -53,7 +53,7 @@
 
 func (u *server) run(now time.Time, j *job) {
 	u.running++
-	work := time.Duration(u.site.rand.ExpFloat64()*float64(u.site.load.Work)) + u.owed
+	work := time.Duration(u.site.rand.ExpFloat64()*float64(u.site.load.ServiceTime)) + u.owed
 	if u.slow {
 		work = time.Duration(u.site.load.SlowFactor * float64(work))
 	}
--- a/internal/loadsim/site.go
+++ b/internal/loadsim/site.go
@@ -47,7 +47,7 @@
 	for i := range load.Upstreams {
 		id := fmt.Sprintf("i-%02d", i)
 		entries = append(entries, upstream.Entry{ID: id, Pool: pool, Address: id, Slots: load.Slots})
-		s.upstreams[id] = &server{site: s, lost: i < load.Lost, slow: i >= load.Upstreams-load.Slow}
+		s.upstreams[id] = &server{site: s, lost: i < load.OutageUpstreams, slow: i >= load.Upstreams-load.SlowUpstreams}
 	}
 	for i := range load.Instances {
 		in := &instance{registry: upstream.NewRegistry(""), name: fmt.Sprintf("n%d", i)}
@@ -60,7 +60,7 @@
 // arrive has a caller begin at now, and the next one after it.
 func (s *site) arrive(now time.Time) {
 	after := now.Sub(s.start)
-	if after >= s.load.Time {
+	if after >= s.load.Duration {
 		return
 	}
 	c := &caller{site: s, begun: now, deadline: now.Add(s.load.Timeout)}
@@ -90,7 +90,7 @@
 // Callers wait for a third of the time that they have left at the most.
 func (c *caller) again(now, at time.Time) {
 	at = earlier(at, now.Add(c.deadline.Sub(now)/3))
-	if c.attempts >= c.site.load.Attempts || !at.Before(c.deadline) {
+	if c.attempts >= c.site.load.MaxAttempts || !at.Before(c.deadline) {
 		return
 	}
 	c.site.at(at, c.try)
@@ -108,7 +108,7 @@
 func (r *request) next(now time.Time) {
 	s := r.caller.site
 	t, wait := r.plan.Next(r.instance.registry, upstream.Requirements{Pool: pool, Now: now, Affinity: r.instance.name})
-	if t == nil && wait == 0 && s.policy.Hold && now.Add(holdStep).Before(r.plan.Deadline) {
+	if t == nil && wait == 0 && s.policy.WaitForSlot && now.Add(holdStep).Before(r.plan.Deadline) {
 		wait = holdStep
 	}
 	switch {
@@ -127,7 +127,7 @@
 	if len(r.plan.Tried()) == 0 {
 		s.meter.held = append(s.meter.held, now.Sub(r.begun))
 	}
-	r.caller.again(now, s.policy.Return(&r.instance.returns, now, r.plan.Deadline, s.rand.Float64()))
+	r.caller.again(now, s.policy.RetryAt(&r.instance.returns, now, r.plan.Deadline, s.rand.Float64()))
 }
 
 // send sends the request to the ticket's upstream.
--- a/internal/loadsim/step.go
+++ b/internal/loadsim/step.go
@@ -14,17 +14,17 @@
 // StepLoad is one step of a trainer and the engines that make its texts. Lengths
 // are log-normal, and so is what their sender's estimates are off by.
 type StepLoad struct {
-	Engines int
-	Slots   int // texts that an engine makes at once
-	Groups  int
-	Size    int     // items of a group
-	Desired float64 // part of the groups that the trainer waits for
-
-	Event     time.Duration // time of an event of a text
-	Events    float64       // median of a text's events
-	Spread    float64       // of their logarithm
-	MaxEvents int
-	HintOff   float64 // spread of the logarithm of estimates
+	Engines      int
+	Slots        int // texts that an engine makes at once
+	Groups       int
+	GroupSize    int     // items of a group
+	DesiredShare float64 // part of the groups that the trainer waits for
+
+	EventInterval time.Duration // time of an event of a text
+	MedianEvents  float64       // median of a text's events
+	EventsSigma   float64       // of their logarithm
+	MaxEvents     int
+	HintSigma     float64 // spread of the logarithm of estimates
 
 	SlowEngines int
 	SlowFactor  float64 // times the time of an event there
@@ -33,31 +33,31 @@
 
 // CallSummary is a step of the brief's smaller deployment with long texts, at a
 // quarter of the engines that would take all its items at once.
-var CallSummary = StepLoad{Engines: 3, Slots: 8, Groups: 17, Size: 4, Desired: 0.9, Event: 38 * time.Millisecond, Events: 17, Spread: 0.84,
-	MaxEvents: 171, HintOff: 0.5, SlowFactor: 1}
+var CallSummary = StepLoad{Engines: 3, Slots: 8, Groups: 17, GroupSize: 4, DesiredShare: 0.9, EventInterval: 38 * time.Millisecond, MedianEvents: 17, EventsSigma: 0.84,
+	MaxEvents: 171, HintSigma: 0.5, SlowFactor: 1}
 
 // StepPolicy is a way to order a step's items.
 type StepPolicy struct {
-	Name string
-	Hint bool // the sender's estimates are used
-	Move bool // a text goes on at a faster engine when its own is slow
+	Name      string
+	UseHints  bool // the sender's estimates are used
+	MoveTexts bool // a text goes on at a faster engine when its own is slow
 }
 
 // The step policies: the product's, items in the order in which they are listed,
 // and texts that stay where they began.
 var (
-	LongestFirst = StepPolicy{Name: "longest first", Hint: true, Move: true}
-	AsListed     = StepPolicy{Name: "as listed", Move: true}
-	Staying      = StepPolicy{Name: "staying", Hint: true}
-	StepPolicies = []StepPolicy{LongestFirst, AsListed, Staying}
+	LongestFirst = StepPolicy{Name: "longest first", UseHints: true, MoveTexts: true}
+	AsListed     = StepPolicy{Name: "as listed", MoveTexts: true}
+	WithoutMoves = StepPolicy{Name: "staying", UseHints: true}
+	StepPolicies = []StepPolicy{LongestFirst, AsListed, WithoutMoves}
 )
 
 // StepResult is what the trainer saw of a step.
 type StepResult struct {
-	Policy  string
-	Desired time.Duration // until the groups that it waits for were whole
-	All     time.Duration // until all were
-	Moves   int           // of texts to another engine
+	Policy      string
+	DesiredTime time.Duration // until the groups that it waits for were whole
+	AllTime     time.Duration // until all were
+	Moves       int           // of texts to another engine
 }
 
 // RunStep plays one step under policy p.
@@ -65,7 +65,7 @@
 	s := newStep(load, p)
 	s.place(s.start)
 	s.play()
-	return StepResult{Policy: p.Name, Desired: s.wholeAfter(int(math.Ceil(load.Desired * float64(load.Groups)))), All: s.wholeAfter(load.Groups), Moves: s.moves}
+	return StepResult{Policy: p.Name, DesiredTime: s.wholeAfter(int(math.Ceil(load.DesiredShare * float64(load.Groups)))), AllTime: s.wholeAfter(load.Groups), Moves: s.moves}
 }
 
 // step is a step under way in simulated time.
@@ -90,11 +90,11 @@
 	rnd := rand.New(rand.NewPCG(load.Seed, 2))
 	spec := submission.Spec{ID: "step", Model: stepModel, MinVersion: 1}
 	for g := range load.Groups {
-		s.left = append(s.left, load.Size)
-		for i := range load.Size {
-			events := min(load.MaxEvents, max(1, int(load.Events*math.Exp(load.Spread*rnd.NormFloat64()))))
-			hint := max(1, int(float64(events)*math.Exp(load.HintOff*rnd.NormFloat64())))
-			if !p.Hint {
+		s.left = append(s.left, load.GroupSize)
+		for i := range load.GroupSize {
+			events := min(load.MaxEvents, max(1, int(load.MedianEvents*math.Exp(load.EventsSigma*rnd.NormFloat64()))))
+			hint := max(1, int(float64(events)*math.Exp(load.HintSigma*rnd.NormFloat64())))
+			if !p.UseHints {
 				hint = 0
 			}
 			s.events = append(s.events, events)
@@ -118,7 +118,7 @@
 			return
 		}
 		s.run.Started(i, now)
-		event := s.load.Event
+		event := s.load.EventInterval
 		for slow := range s.load.SlowEngines {
 			if t.ID == fmt.Sprintf("i-%02d", slow) {
 				event = time.Duration(s.load.SlowFactor * float64(event))
@@ -130,7 +130,7 @@
 
 // want is what item i asks of an engine.
 func (s *step) want(i int, now time.Time) upstream.Requirements {
-	return upstream.Requirements{Pool: pool, Now: now, Model: stepModel, MinVersion: 1, Affinity: fmt.Sprint(i / s.load.Size), NeedFreeSlot: true}
+	return upstream.Requirements{Pool: pool, Now: now, Model: stepModel, MinVersion: 1, Affinity: fmt.Sprint(i / s.load.GroupSize), NeedFreeSlot: true}
 }
 
 // next has the ticket's engine make the next events of item i, and looks then
@@ -149,8 +149,8 @@
 			t.Done(upstream.AttemptResult{At: now, TimePerUnit: event})
 			p.Complete = true
 			s.run.AttemptEnded(i, p, submission.ItemPolicy{MaxAttempts: 1}, now)
-			s.finished(now, i/s.load.Size)
-		case s.policy.Move && t.FasterAvailable(s.want(i, now), submission.SlowEngineFactor):
+			s.finished(now, i/s.load.GroupSize)
+		case s.policy.MoveTexts && t.FasterAvailable(s.want(i, now), submission.SlowEngineFactor):
 			s.moves++
 			t.Done(upstream.AttemptResult{At: now, TimePerUnit: event})
 			s.run.AttemptEnded(i, p, submission.ItemPolicy{MaxAttempts: 1}, now)
--- a/internal/logs/budget.go
+++ b/internal/logs/budget.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Budget bounds how many lines of one kind are written in a second, so that a
+// Limiter bounds how many lines of one kind are written in a second, so that a
 // load many times the usual does not cost more lines. Failures are given a
-// Budget of their own, so that successes never take their place. It is safe for
+// Limiter of their own, so that successes never take their place. It is safe for
 // concurrent use.
-type Budget struct {
+type Limiter struct {
 	perSecond int
 
 	mu      sync.Mutex
@@ -18,12 +18,12 @@
 	skipped int
 }
 
-// NewBudget returns a Budget of lines a second.
-func NewBudget(perSecond int) *Budget { return &Budget{perSecond: perSecond} }
+// NewLimiter returns a Budget of lines a second.
+func NewLimiter(perSecond int) *Limiter { return &Limiter{perSecond: perSecond} }
 
-// Take reports whether a line may be written at now, and how many of its kind
+// Allow reports whether a line may be written at now, and how many of its kind
 // have been skipped since the last one, to be told in it.
-func (b *Budget) Take(now time.Time) (skipped int, ok bool) {
+func (b *Limiter) Allow(now time.Time) (skipped int, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := now.Unix(); s != b.second {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -58,13 +58,13 @@
 // Replays six times the load that a budget allows: no second has more lines
 // than the budget, and the lines skipped are told.
 func TestBudget(t *testing.T) {
-	b := logs.NewBudget(10)
+	b := logs.NewLimiter(10)
 	now := time.Unix(1_800_000_000, 0)
 	lines, told := 0, 0
 	for range 5 {
 		inSecond := 0
 		for range 60 {
-			if skipped, ok := b.Take(now); ok {
+			if skipped, ok := b.Allow(now); ok {
 				inSecond++
 				told += skipped
 			}
@@ -75,7 +75,7 @@
 			t.Fatalf("%d lines in a second", inSecond)
 		}
 	}
-	if skipped, ok := b.Take(now.Add(time.Second)); !ok || lines+told+skipped != 300 {
+	if skipped, ok := b.Allow(now.Add(time.Second)); !ok || lines+told+skipped != 300 {
 		t.Fatalf("%d lines and %d told as skipped, of 300", lines, told+skipped)
 	}
 }
--- a/internal/paired/paired.go
+++ b/internal/paired/paired.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// Level is the confidence level of the interval and of a difference that
+	// ConfidenceLevel is the confidence level of the interval and of a difference that
 	// counts: the usual one in twenty.
-	Level = 0.95
+	ConfidenceLevel = 0.95
 	// Power is how surely NeededFor's number of pairs shows a difference that is
 	// there: the usual four in five.
 	Power = 0.8
@@ -27,7 +27,7 @@
 	Pairs         int
 	Before, After float64 // means
 	Difference    float64 // mean of After less Before
-	Spread        float64 // standard deviation of the differences
+	StdDev        float64 // standard deviation of the differences
 	HalfWidth     float64 // of the confidence interval of Difference
 }
 
@@ -43,23 +43,23 @@
 	}
 	r.Before, r.After, r.Difference = stat.Mean(before, nil), stat.Mean(after, nil), stat.Mean(diffs, nil)
 	if len(pairs) > 1 {
-		r.Spread = stat.StdDev(diffs, nil)
-		r.HalfWidth = quantile((1+Level)/2, len(pairs)) * r.Spread / math.Sqrt(float64(len(pairs)))
+		r.StdDev = stat.StdDev(diffs, nil)
+		r.HalfWidth = quantile((1+ConfidenceLevel)/2, len(pairs)) * r.StdDev / math.Sqrt(float64(len(pairs)))
 	}
 	return r
 }
 
-// Counts reports whether the difference is not within what chance gives.
-func (r Result) Counts() bool { return math.Abs(r.Difference) > r.HalfWidth }
+// Significant reports whether the difference is not within what chance gives.
+func (r Result) Significant() bool { return math.Abs(r.Difference) > r.HalfWidth }
 
-// NeededFor returns how many pairs of this spread show a difference of d.
-func (r Result) NeededFor(d float64) int {
-	if r.Spread == 0 || d == 0 {
+// PairsNeeded returns how many pairs of this spread show a difference of d.
+func (r Result) PairsNeeded(d float64) int {
+	if r.StdDev == 0 || d == 0 {
 		return 2
 	}
 	n := 2
 	for ; n < maxNeeded; n++ {
-		seen := (quantile((1+Level)/2, n) + quantile(Power, n)) * r.Spread / math.Sqrt(float64(n))
+		seen := (quantile((1+ConfidenceLevel)/2, n) + quantile(Power, n)) * r.StdDev / math.Sqrt(float64(n))
 		if seen <= math.Abs(d) {
 			break
 		}
--- a/internal/paired/paired_test.go
+++ b/internal/paired/paired_test.go
@@ -11,14 +11,14 @@
 func TestCompare(t *testing.T) {
 	steady := []paired.Pair{{0.50, 0.54}, {0.80, 0.85}, {0.65, 0.69}, {0.90, 0.96}}
 	r := paired.Compare(steady)
-	if math.Abs(r.Difference-0.0475) > 1e-9 || !r.Counts() {
-		t.Errorf("steady gain: %+v, counts %v", r, r.Counts())
+	if math.Abs(r.Difference-0.0475) > 1e-9 || !r.Significant() {
+		t.Errorf("steady gain: %+v, counts %v", r, r.Significant())
 	}
 	wild := []paired.Pair{{0.50, 0.70}, {0.80, 0.65}, {0.65, 0.80}, {0.90, 0.85}}
-	if r := paired.Compare(wild); r.Counts() {
+	if r := paired.Compare(wild); r.Significant() {
 		t.Errorf("a difference within the spread counts: %+v", r)
 	}
-	if paired.Compare(steady[:1]).Counts() {
+	if paired.Compare(steady[:1]).Significant() {
 		t.Error("one pair counts")
 	}
 }
@@ -38,8 +38,8 @@
 
 // Half the difference wants about four times the pairs.
 func TestNeededFor(t *testing.T) {
-	r := paired.Result{Spread: 0.1}
-	large, small := r.NeededFor(0.04), r.NeededFor(0.02)
+	r := paired.Result{StdDev: 0.1}
+	large, small := r.PairsNeeded(0.04), r.PairsNeeded(0.02)
 	if ratio := float64(small) / float64(large); ratio < 3.5 || ratio > 4.2 {
 		t.Errorf("%d pairs for 0.04 and %d for 0.02", large, small)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Relay forwards connections made to Addr to a target. Call Start.
-type Relay struct {
+// Proxy forwards connections made to Addr to a target. Call Start.
+type Proxy struct {
 	target string
 	ln     net.Listener
 	group  errgroup.Group
@@ -41,21 +41,21 @@
 }
 
 // Start returns a Relay to target, listening on a loopback port.
-func Start(target string) (*Relay, error) {
+func Start(target string) (*Proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{target: target, ln: ln, conns: map[*tracked]bool{}}
+	r := &Proxy{target: target, ln: ln, conns: map[*tracked]bool{}}
 	r.group.Go(r.accept)
 	return r, nil
 }
 
 // Addr returns the address to connect to.
-func (r *Relay) Addr() string { return r.ln.Addr().String() }
+func (r *Proxy) Addr() string { return r.ln.Addr().String() }
 
-// Silence makes every connection now open carry nothing more, and stay open.
-func (r *Relay) Silence() {
+// BlackholeOpen makes every connection now open carry nothing more, and stay open.
+func (r *Proxy) BlackholeOpen() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -65,17 +65,17 @@
 	}
 }
 
-// Cut is Silence, and makes every connection to come carry nothing either, as
+// BlackholeAll is Silence, and makes every connection to come carry nothing either, as
 // between networks that have lost each other.
-func (r *Relay) Cut() {
+func (r *Proxy) BlackholeAll() {
 	r.mu.Lock()
 	r.cut = true
 	r.mu.Unlock()
-	r.Silence()
+	r.BlackholeOpen()
 }
 
 // Close closes the listener and every connection, and waits for them.
-func (r *Relay) Close() {
+func (r *Proxy) Close() {
 	r.ln.Close()
 	r.mu.Lock()
 	for c := range r.conns {
@@ -85,7 +85,7 @@
 	_ = r.group.Wait()
 }
 
-func (r *Relay) accept() error {
+func (r *Proxy) accept() error {
 	for {
 		in, err := r.ln.Accept()
 		if err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-func (r *Relay) track(c net.Conn) *tracked {
+func (r *Proxy) track(c net.Conn) *tracked {
 	r.mu.Lock()
 	t := &tracked{Conn: c, silent: r.cut}
 	r.conns[t] = true
@@ -112,7 +112,7 @@
 
 // copy forwards from src to dst until src ends. A silent connection's end is
 // not told to the other side either.
-func (r *Relay) copy(dst, src *tracked) {
+func (r *Proxy) copy(dst, src *tracked) {
 	_, _ = io.Copy(dst, src)
 	dst.mu.Lock()
 	silent := dst.silent
--- a/internal/settings/roles.go
+++ b/internal/settings/roles.go
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// Plain is the settings of a stand-in with nothing but the common fields:
+// CommonOnly is the settings of a stand-in with nothing but the common fields:
 // the platform, the trainer and the plain service.
-type Plain struct {
+type CommonOnly struct {
 	Common
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -31,14 +31,14 @@
 
 // Config says what a Site holds.
 type Config struct {
-	Engines  int
-	Engine   enginetest.Config // applied to every engine
-	Services int               // plain services; default 1
-	Entries  int
-	Entry    entry.Config // ID, Listen and Platform are set per instance
-	Logger   *log.Logger  // default: discard
-	Clock    clock.Clock
-	NoPeers  bool // instances have no peer link
+	Engines          int
+	Engine           enginetest.Config // applied to every engine
+	Services         int               // plain services; default 1
+	Entries          int
+	Entry            entry.Config // ID, Listen and Platform are set per instance
+	Logger           *log.Logger  // default: discard
+	Clock            clock.Clock
+	DisablePeerLinks bool // instances have no peer link
 	// Poison has engines and services crash under the requests that it matches, and
 	// start again RestartAfter later; nil for none.
 	Poison       *crashtest.Poison
@@ -129,7 +129,7 @@
 	ec.Platform = platform.NewClient(s.PlatformURL, nil)
 	ec.Logger = s.cfg.Logger.With("id", id)
 	ec.Clock = s.cfg.Clock
-	if s.cfg.NoPeers {
+	if s.cfg.DisablePeerLinks {
 		pln.Close()
 		ec.PeerListener = nil
 	}
@@ -166,7 +166,7 @@
 func (s *Site) Crashes() []time.Time {
 	var out []time.Time
 	for _, up := range slices.Concat(s.engines, s.services) {
-		out = append(out, up.Ends()...)
+		out = append(out, up.CrashTimes()...)
 	}
 	slices.SortFunc(out, time.Time.Compare)
 	return out
@@ -255,7 +255,7 @@
 	if s.cfg.Poison != nil {
 		h = s.cfg.Poison.Handler(h, func() *crashtest.Server { ready.Wait(); return up })
 	}
-	up, err := crashtest.Serve(crashtest.Config{Handler: h, RestartAfter: func() time.Duration { return s.cfg.RestartAfter }})
+	up, err := crashtest.Serve(crashtest.Config{Handler: h, RestartDelay: func() time.Duration { return s.cfg.RestartAfter }})
 	ready.Done()
 	if err != nil {
 		return nil, err
--- a/internal/snapshot/duties.go
+++ b/internal/snapshot/duties.go
@@ -17,7 +17,7 @@
 // DutyTables returns the tables that Duties are in, d being what reads the rows of
 // operators and upstreams.
 func DutyTables(d node.Decoder) []Table {
-	return append(ServedTables(d),
+	return append(VersionTables(d),
 		Table{Name: node.LeasesTable, Prefixes: []string{node.LeasesTable + "//"}},
 		Table{Name: usage.ReportsTable, Prefixes: []string{usage.ReportsPrefix()}})
 }
@@ -29,11 +29,11 @@
 	Holders []Lease        `json:"holders"`
 	Reports []usage.Report `json:"reports"` // the oldest first
 	Missing []usage.Window `json:"missing"` // between the oldest and the newest report
-	Engines []EnginesThere `json:"engines"`
+	Engines []EngineCount  `json:"engines"`
 }
 
-// EnginesThere is how many engines of a pool a data centre has.
-type EnginesThere struct {
+// EngineCount is how many engines of a pool a data centre has.
+type EngineCount struct {
 	Pool       string `json:"pool"`
 	DataCentre string `json:"data_centre"`
 	Regular    int    `json:"regular"`
@@ -51,7 +51,7 @@
 		}
 	}
 	type place struct{ pool, dataCentre string }
-	there := map[place]EnginesThere{}
+	there := map[place]EngineCount{}
 	for _, e := range st.Upstreams {
 		p := place{e.Pool, e.DataCentre}
 		n := there[p]
@@ -66,7 +66,7 @@
 		}
 		there[p] = n
 	}
-	d.Engines = slices.SortedFunc(maps.Values(there), func(a, b EnginesThere) int {
+	d.Engines = slices.SortedFunc(maps.Values(there), func(a, b EngineCount) int {
 		return cmp.Or(strings.Compare(a.Pool, b.Pool), strings.Compare(a.DataCentre, b.DataCentre))
 	})
 	return d
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -29,7 +29,7 @@
 func (s Snapshot) Write(w io.Writer) error {
 	b := bufio.NewWriter(w)
 	enc := json.NewEncoder(b)
-	if err := enc.Encode(header{format, s.TakenAt, s.Version, len(s.Rows), len(s.Objects), s.Later}); err != nil {
+	if err := enc.Encode(header{format, s.TakenAt, s.Version, len(s.Rows), len(s.Objects), s.ChangedSince}); err != nil {
 		return err
 	}
 	for _, r := range s.Rows {
@@ -52,7 +52,7 @@
 	if err := dec.Decode(&h); err != nil || h.Format != format {
 		return Snapshot{}, fmt.Errorf("%w: no line of format %q at its beginning", ErrFormat, format)
 	}
-	s := Snapshot{TakenAt: h.TakenAt, Version: h.Version, Later: h.Later}
+	s := Snapshot{TakenAt: h.TakenAt, Version: h.Version, ChangedSince: h.Later}
 	for i := range h.Rows {
 		var row Row
 		if err := dec.Decode(&row); err != nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -24,16 +24,16 @@
 type Table struct {
 	Name     string
 	Prefixes []string // cover its keys, one for each partition
-	// WithoutSecrets returns what may be copied of a row; nil for all of it.
-	WithoutSecrets func(platform.Row) platform.Row
+	// Redact returns what may be copied of a row; nil for all of it.
+	Redact func(platform.Row) platform.Row
 }
 
 // copied returns what the snapshot holds of a row of t.
 func (t Table) copied(r platform.Row) platform.Row {
-	if t.WithoutSecrets == nil {
+	if t.Redact == nil {
 		return r
 	}
-	return t.WithoutSecrets(r)
+	return t.Redact(r)
 }
 
 // Row is a row of the store. Its value may be anything that somebody wrote.
@@ -56,9 +56,9 @@
 	Version uint64
 	Rows    []Row // in order of key
 	Objects []Object
-	// Later are the keys of rows that changed again after Version while they were
+	// ChangedSince are the keys of rows that changed again after Version while they were
 	// copied, and may be missing or older than Version.
-	Later []string
+	ChangedSince []string
 }
 
 // scanRows is how many rows one call reads, the most that the store answers.
@@ -83,7 +83,7 @@
 		if err != nil {
 			return Snapshot{}, fmt.Errorf("snapshot: changes of table %s: %w", t.Name, err)
 		}
-		snap.Later = append(snap.Later, later...)
+		snap.ChangedSince = append(snap.ChangedSince, later...)
 	}
 	for _, r := range rows {
 		snap.Rows = append(snap.Rows, Row{Key: r.Key, Version: r.Version, Value: r.Value})
--- a/internal/snapshot/state.go
+++ b/internal/snapshot/state.go
@@ -30,11 +30,11 @@
 		Table{Name: submission.ResultsTable, Prefixes: submission.ResultPrefixes()})
 }
 
-// ServedTables returns the tables that Versions are in: not the results, which hold
+// VersionTables returns the tables that Versions are in: not the results, which hold
 // texts and are by far the largest.
-func ServedTables(d node.Decoder) []Table {
+func VersionTables(d node.Decoder) []Table {
 	return []Table{
-		{Name: d.OperatorTable, Prefixes: []string{d.OperatorTable + "//"}, WithoutSecrets: d.RedactKeys},
+		{Name: d.OperatorTable, Prefixes: []string{d.OperatorTable + "//"}, Redact: d.RedactKeys},
 		{Name: d.EntriesTable, Prefixes: []string{d.EntriesTable + "//"}},
 		{Name: membership.Table, Prefixes: []string{membership.Prefix()}},
 		{Name: submission.HeadsTable, Prefixes: submission.HeadPrefixes()},
@@ -48,18 +48,18 @@
 
 // State is what a snapshot says of a site.
 type State struct {
-	TakenAt       time.Time          `json:"taken_at"`
-	Configuration Configuration      `json:"configuration"`
-	Versions      map[string]uint64  `json:"weight_versions"` // named, by model
-	Instances     []Instance         `json:"instances"`
-	Upstreams     []upstream.Entry   `json:"upstreams"`
-	Leases        []Lease            `json:"leases"`
-	Relays        []Relay            `json:"relays"`
-	Suspects      []Suspect          `json:"suspects"`
-	Submissions   []Submission       `json:"submissions"`
-	Changes       []node.AuditRecord `json:"changes"`    // of the configuration, the oldest first
-	Reports       []usage.Report     `json:"reports"`    // of customers' use
-	Unreadable    []string           `json:"unreadable"` // rows that could not be read, and why
+	TakenAt        time.Time          `json:"taken_at"`
+	Configuration  Configuration      `json:"configuration"`
+	TargetVersions map[string]uint64  `json:"weight_versions"` // named, by model
+	Instances      []Instance         `json:"instances"`
+	Upstreams      []upstream.Entry   `json:"upstreams"`
+	Leases         []Lease            `json:"leases"`
+	Relays         []Relay            `json:"relays"`
+	Suspects       []Suspect          `json:"suspects"`
+	Submissions    []Submission       `json:"submissions"`
+	Changes        []node.AuditRecord `json:"changes"`    // of the configuration, the oldest first
+	Reports        []usage.Report     `json:"reports"`    // of customers' use
+	Unreadable     []string           `json:"unreadable"` // rows that could not be read, and why
 }
 
 // Configuration is the configuration that the operators have written.
@@ -74,12 +74,12 @@
 // Instance is an instance as its row tells it.
 type Instance struct {
 	Name          string    `json:"name"`
-	Start         string    `json:"start"`
+	StartID       string    `json:"start"`
 	Address       string    `json:"address"`
 	DataCentre    string    `json:"data_centre"`
 	Draining      bool      `json:"draining"`
 	Configuration uint64    `json:"configuration"` // version in force there
-	Follows       string    `json:"follows"`       // what it follows the store's tables by
+	WatchSource   string    `json:"follows"`       // what it follows the store's tables by
 	RenewedAt     time.Time `json:"renewed_at"`    // by its own clock, as ExpiresAt is
 	ExpiresAt     time.Time `json:"expires_at"`
 }
@@ -88,9 +88,9 @@
 type Relay struct {
 	DataCentre string `json:"data_centre"`
 	Slot       int    `json:"slot"`
-	Start      string `json:"start"`
+	StartID    string `json:"start"`
 	Address    string `json:"address"`
-	Gone       bool   `json:"gone"`     // its instance is not there, or has started again
+	Stale      bool   `json:"gone"`     // its instance is not there, or has started again
 	Watchers   int    `json:"watchers"` // instances whose rows tell that they follow it
 }
 
@@ -98,7 +98,7 @@
 // answered it.
 type Suspect struct {
 	Content string   `json:"content"`
-	Ends    []string `json:"ends"`   // starts of upstreams
+	Crashes []string `json:"ends"`   // starts of upstreams
 	Trials  int      `json:"trials"` // that were claimed
 }
 
@@ -120,7 +120,7 @@
 // State returns what s says, d being what reads the rows of operators and
 // upstreams.
 func (s Snapshot) State(d node.Decoder) State {
-	st := State{TakenAt: s.TakenAt, Versions: map[string]uint64{}}
+	st := State{TakenAt: s.TakenAt, TargetVersions: map[string]uint64{}}
 	results := map[string]int{}
 	for _, r := range s.Rows {
 		table, _, _ := strings.Cut(r.Key, "/")
@@ -164,7 +164,7 @@
 
 func (st *State) operator(d node.Decoder, r Row) error {
 	if model, v, ok := d.TargetVersion(r.row()); ok {
-		st.Versions[model] = v
+		st.TargetVersions[model] = v
 		return nil
 	}
 	t, ok, err := d.Configuration(r.row())
@@ -202,7 +202,7 @@
 		st.Suspects[i].Trials++
 		return nil
 	}
-	st.Suspects[i].Ends = append(st.Suspects[i].Ends, f.Subject)
+	st.Suspects[i].Crashes = append(st.Suspects[i].Crashes, f.Subject)
 	return nil
 }
 
@@ -214,8 +214,8 @@
 	if err != nil {
 		return err
 	}
-	st.Instances = append(st.Instances, Instance{Name: m.Name, Start: m.StartID, Address: m.Address, DataCentre: m.DataCentre,
-		Draining: m.Draining, Configuration: m.Configuration, Follows: m.WatchSource, RenewedAt: l.RenewedAt, ExpiresAt: l.ExpiresAt})
+	st.Instances = append(st.Instances, Instance{Name: m.Name, StartID: m.StartID, Address: m.Address, DataCentre: m.DataCentre,
+		Draining: m.Draining, Configuration: m.Configuration, WatchSource: m.WatchSource, RenewedAt: l.RenewedAt, ExpiresAt: l.ExpiresAt})
 	return nil
 }
 
@@ -230,7 +230,7 @@
 func (st *State) relay(r Row) error {
 	at, err := watch.Decode(r.row())
 	if err == nil {
-		st.Relays = append(st.Relays, Relay{DataCentre: at.DataCentre, Slot: at.Slot, Start: at.StartID, Address: at.Address})
+		st.Relays = append(st.Relays, Relay{DataCentre: at.DataCentre, Slot: at.Slot, StartID: at.StartID, Address: at.Address})
 	}
 	return err
 }
@@ -239,11 +239,11 @@
 func (st *State) countWatchers() {
 	starts, watchers := map[string]bool{}, map[string]int{}
 	for _, in := range st.Instances {
-		starts[in.Start] = true
-		watchers[in.Follows]++
+		starts[in.StartID] = true
+		watchers[in.WatchSource]++
 	}
 	for i, r := range st.Relays {
-		st.Relays[i].Gone, st.Relays[i].Watchers = !starts[r.Start], watchers[r.Address]
+		st.Relays[i].Stale, st.Relays[i].Watchers = !starts[r.StartID], watchers[r.Address]
 	}
 }
 
@@ -277,22 +277,22 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "configuration\tversion %d, %d routes, %d customers, pools %s\n", st.Configuration.Version, st.Configuration.Routes, st.Configuration.Customers, strings.Join(st.Configuration.Pools, " "))
 	for _, in := range st.Instances {
-		fmt.Fprintf(t, "instance %s\t%s\t%s\tconfiguration %d\tdraining %t\trenewed %s\tfollows %s\n", in.Name, in.Address, in.DataCentre, in.Configuration, in.Draining, in.RenewedAt.UTC().Format(time.TimeOnly), in.Follows)
+		fmt.Fprintf(t, "instance %s\t%s\t%s\tconfiguration %d\tdraining %t\trenewed %s\tfollows %s\n", in.Name, in.Address, in.DataCentre, in.Configuration, in.Draining, in.RenewedAt.UTC().Format(time.TimeOnly), in.WatchSource)
 	}
 	for _, e := range st.Upstreams {
 		fmt.Fprintf(t, "upstream %s\t%s\t%s\tpool %s\tdraining %t\tversions %v\n", e.ID, e.Address, e.DataCentre, e.Pool, e.Draining, e.Versions)
 	}
 	for _, r := range st.Relays {
-		fmt.Fprintf(t, "relay %s/%d\t%s\t%s\tfollowed by %d\tgone %t\n", r.DataCentre, r.Slot, r.Start, r.Address, r.Watchers, r.Gone)
+		fmt.Fprintf(t, "relay %s/%d\t%s\t%s\tfollowed by %d\tgone %t\n", r.DataCentre, r.Slot, r.StartID, r.Address, r.Watchers, r.Stale)
 	}
 	for _, l := range st.Leases {
 		fmt.Fprintf(t, "lease %s\theld by %s\tfencing %d\n", l.Name, l.Holder, l.Fencing)
 	}
 	for _, s := range st.Suspects {
-		fmt.Fprintf(t, "suspect %s\t%d upstreams ended\t%d trials\t%v\n", s.Content, len(s.Ends), s.Trials, s.Ends)
+		fmt.Fprintf(t, "suspect %s\t%d upstreams ended\t%d trials\t%v\n", s.Content, len(s.Crashes), s.Trials, s.Crashes)
 	}
-	for _, model := range slices.Sorted(maps.Keys(st.Versions)) {
-		fmt.Fprintf(t, "model %s\tversion %d\n", model, st.Versions[model])
+	for _, model := range slices.Sorted(maps.Keys(st.TargetVersions)) {
+		fmt.Fprintf(t, "model %s\tversion %d\n", model, st.TargetVersions[model])
 	}
 	for _, s := range st.Submissions {
 		fmt.Fprintf(t, "submission %s\tstep %d\t%d of %d results\towner %s\tfencing %d\t%s\n", s.ID, s.Step, s.Results, s.Total, s.Owner, s.Fencing, phase(s.Head))
--- a/internal/snapshot/versions.go
+++ b/internal/snapshot/versions.go
@@ -31,27 +31,27 @@
 type DataCentreVersions struct {
 	DataCentre string         `json:"data_centre"`
 	Instances  int            `json:"instances"` // that are not silent
-	Silent     int            `json:"silent"`    // whose row stands though its time is over
+	Stale      int            `json:"silent"`    // whose row stands though its time is over
 	InForce    []VersionCount `json:"in_force"`  // newest first; of instances that are not silent
 	Behind     []string       `json:"behind"`    // instances at an older version than the operators'
-	// OldestTold is when the instance that has told nothing for longest renewed its
+	// OldestRenewal is when the instance that has told nothing for longest renewed its
 	// row: it may have taken up a newer version since.
-	OldestTold time.Time `json:"oldest_told"`
+	OldestRenewal time.Time `json:"oldest_told"`
 }
 
 // ModelVersions is the weight versions that engines hold of a model.
 type ModelVersions struct {
-	Model string `json:"model"`
-	Named uint64 `json:"named"` // newest version
-	// Asked is the oldest version that all open submissions accept; 0 if none is open.
-	Asked       uint64          `json:"asked"`
-	DataCentres []EngineCounter `json:"data_centres"`
+	Model         string `json:"model"`
+	TargetVersion uint64 `json:"named"` // newest version
+	// MinVersion is the oldest version that all open submissions accept; 0 if none is open.
+	MinVersion  uint64           `json:"asked"`
+	DataCentres []EngineVersions `json:"data_centres"`
 }
 
-// EngineCounter counts the engines of one data centre by the version that they hold.
-type EngineCounter struct {
+// EngineVersions counts the engines of one data centre by the version that they hold.
+type EngineVersions struct {
 	DataCentre string         `json:"data_centre"`
-	Holding    []VersionCount `json:"holding"` // newest first
+	Counts     []VersionCount `json:"holding"` // newest first
 	TooOld     int            `json:"too_old"` // for what is asked
 }
 
@@ -83,7 +83,7 @@
 	counts := map[uint64]int{}
 	for _, in := range instances {
 		if st.TakenAt.Sub(in.ExpiresAt) > silentAfter {
-			out.Silent++
+			out.Stale++
 			continue
 		}
 		out.Instances++
@@ -91,8 +91,8 @@
 		if in.Configuration < st.Configuration.Version {
 			out.Behind = append(out.Behind, in.Name)
 		}
-		if out.OldestTold.IsZero() || in.RenewedAt.Before(out.OldestTold) {
-			out.OldestTold = in.RenewedAt
+		if out.OldestRenewal.IsZero() || in.RenewedAt.Before(out.OldestRenewal) {
+			out.OldestRenewal = in.RenewedAt
 		}
 	}
 	out.InForce = newestFirst(counts)
@@ -102,7 +102,7 @@
 // models returns the models that a version is named of or an engine holds.
 func (st State) models() map[string]bool {
 	out := map[string]bool{}
-	for m := range st.Versions {
+	for m := range st.TargetVersions {
 		out[m] = true
 	}
 	for _, e := range st.Upstreams {
@@ -115,10 +115,10 @@
 
 // held returns the versions of model that engines hold.
 func (st State) held(model string) ModelVersions {
-	out := ModelVersions{Model: model, Named: st.Versions[model]}
+	out := ModelVersions{Model: model, TargetVersion: st.TargetVersions[model]}
 	for _, s := range st.Submissions {
 		if s.Model == model && s.Open() {
-			out.Asked = max(out.Asked, s.MinVersion)
+			out.MinVersion = max(out.MinVersion, s.MinVersion)
 		}
 	}
 	byCentre := map[string]map[uint64]int{}
@@ -133,9 +133,9 @@
 		byCentre[e.DataCentre][v]++
 	}
 	for _, dc := range slices.Sorted(maps.Keys(byCentre)) {
-		c := EngineCounter{DataCentre: dc, Holding: newestFirst(byCentre[dc])}
-		for _, h := range c.Holding {
-			if h.Version < out.Asked {
+		c := EngineVersions{DataCentre: dc, Counts: newestFirst(byCentre[dc])}
+		for _, h := range c.Counts {
+			if h.Version < out.MinVersion {
 				c.TooOld += h.Count
 			}
 		}
@@ -158,12 +158,12 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "configuration %d, as of %s\n", v.Configuration, v.TakenAt.UTC().Format(time.TimeOnly))
 	for _, dc := range v.DataCentres {
-		fmt.Fprintf(t, "%s\t%d instances, %d silent\tin force %s\t%s\n", dc.DataCentre, dc.Instances, dc.Silent, countsText(dc.InForce), dc.behindText())
+		fmt.Fprintf(t, "%s\t%d instances, %d silent\tin force %s\t%s\n", dc.DataCentre, dc.Instances, dc.Stale, countsText(dc.InForce), dc.behindText())
 	}
 	for _, m := range v.Models {
-		fmt.Fprintf(t, "model %s\tversion %d named\t%s\n", m.Model, m.Named, m.askedText())
+		fmt.Fprintf(t, "model %s\tversion %d named\t%s\n", m.Model, m.TargetVersion, m.askedText())
 		for _, c := range m.DataCentres {
-			fmt.Fprintf(t, "  %s\tengines at %s\t%d too old\n", c.DataCentre, countsText(c.Holding), c.TooOld)
+			fmt.Fprintf(t, "  %s\tengines at %s\t%d too old\n", c.DataCentre, countsText(c.Counts), c.TooOld)
 		}
 	}
 	return t.Flush()
@@ -173,7 +173,7 @@
 	if len(dc.Behind) == 0 {
 		return "none behind"
 	}
-	text := fmt.Sprintf("%d behind as told since %s: %s", len(dc.Behind), dc.OldestTold.UTC().Format(time.TimeOnly), strings.Join(dc.Behind[:min(namedBehind, len(dc.Behind))], " "))
+	text := fmt.Sprintf("%d behind as told since %s: %s", len(dc.Behind), dc.OldestRenewal.UTC().Format(time.TimeOnly), strings.Join(dc.Behind[:min(namedBehind, len(dc.Behind))], " "))
 	if more := len(dc.Behind) - namedBehind; more > 0 {
 		text += fmt.Sprintf(" and %d more", more)
 	}
@@ -181,10 +181,10 @@
 }
 
 func (m ModelVersions) askedText() string {
-	if m.Asked == 0 {
+	if m.MinVersion == 0 {
 		return "no open submission"
 	}
-	return fmt.Sprintf("%d and newer asked for", m.Asked)
+	return fmt.Sprintf("%d and newer asked for", m.MinVersion)
 }
 
 // countsText returns counts as "14: 55, 13: 2".
--- a/internal/snapshot/versions_test.go
+++ b/internal/snapshot/versions_test.go
@@ -23,20 +23,20 @@
 	engine := func(id, dc string, version uint64, draining bool) upstream.Entry {
 		return upstream.Entry{ID: id, DataCentre: dc, Draining: draining, Versions: map[string]uint64{"m": version}}
 	}
-	st := snapshot.State{TakenAt: now, Configuration: snapshot.Configuration{Version: 14}, Versions: map[string]uint64{"m": 7},
+	st := snapshot.State{TakenAt: now, Configuration: snapshot.Configuration{Version: 14}, TargetVersions: map[string]uint64{"m": 7},
 		Instances:   []snapshot.Instance{in("a1", "hall-a", 14, time.Second), in("a2", "hall-a", 12, 3*time.Second), in("a3", "hall-a", 9, time.Minute), in("b1", "hall-b", 14, 0)},
 		Upstreams:   []upstream.Entry{engine("e1", "hall-a", 7, false), engine("e2", "hall-a", 5, false), engine("e3", "hall-b", 6, false), engine("e4", "hall-b", 4, true)},
 		Submissions: []snapshot.Submission{{Head: submission.Head{Model: "m", MinVersion: 6}}, {Head: submission.Head{Model: "m", MinVersion: 7, Ended: true}}}}
 	v := st.ServedVersions()
 	if got, want := fmt.Sprint(v.DataCentres), fmt.Sprint([]snapshot.DataCentreVersions{
-		{DataCentre: "hall-a", Instances: 2, Silent: 1, InForce: []snapshot.VersionCount{{Version: 14, Count: 1}, {Version: 12, Count: 1}}, Behind: []string{"a2"}, OldestTold: now.Add(-3 * time.Second)},
-		{DataCentre: "hall-b", Instances: 1, InForce: []snapshot.VersionCount{{Version: 14, Count: 1}}, OldestTold: now},
+		{DataCentre: "hall-a", Instances: 2, Stale: 1, InForce: []snapshot.VersionCount{{Version: 14, Count: 1}, {Version: 12, Count: 1}}, Behind: []string{"a2"}, OldestRenewal: now.Add(-3 * time.Second)},
+		{DataCentre: "hall-b", Instances: 1, InForce: []snapshot.VersionCount{{Version: 14, Count: 1}}, OldestRenewal: now},
 	}); got != want {
 		t.Errorf("data centres %s, want %s", got, want)
 	}
-	if got, want := fmt.Sprint(v.Models), fmt.Sprint([]snapshot.ModelVersions{{Model: "m", Named: 7, Asked: 6, DataCentres: []snapshot.EngineCounter{
-		{DataCentre: "hall-a", Holding: []snapshot.VersionCount{{Version: 7, Count: 1}, {Version: 5, Count: 1}}, TooOld: 1},
-		{DataCentre: "hall-b", Holding: []snapshot.VersionCount{{Version: 6, Count: 1}}}}}}); got != want {
+	if got, want := fmt.Sprint(v.Models), fmt.Sprint([]snapshot.ModelVersions{{Model: "m", TargetVersion: 7, MinVersion: 6, DataCentres: []snapshot.EngineVersions{
+		{DataCentre: "hall-a", Counts: []snapshot.VersionCount{{Version: 7, Count: 1}, {Version: 5, Count: 1}}, TooOld: 1},
+		{DataCentre: "hall-b", Counts: []snapshot.VersionCount{{Version: 6, Count: 1}}}}}}); got != want {
 		t.Errorf("models %s, want %s", got, want)
 	}
 	var text strings.Builder
--- a/pkg/engine/client.go
+++ b/pkg/engine/client.go
@@ -47,7 +47,7 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
-		return nil, httpjson.Refused(resp)
+		return nil, httpjson.NewStatusError(resp)
 	}
 	scanner := bufio.NewScanner(resp.Body)
 	scanner.Buffer(make([]byte, 0, 64<<10), httpjson.MaxBody)
--- a/pkg/entry/client.go
+++ b/pkg/entry/client.go
@@ -34,7 +34,7 @@
 func (c *Client) WithKey(key string) *Client {
 	hc := *c.server.HTTP
 	hc.Transport = keyTransport{hc.Transport, key}
-	return &Client{server: httpjson.NewClient(c.server.Base, &hc)}
+	return &Client{server: httpjson.NewClient(c.server.BaseURL, &hc)}
 }
 
 // keyTransport is a http.RoundTripper that adds an API key to requests.
--- a/pkg/entry/drain_test.go
+++ b/pkg/entry/drain_test.go
@@ -92,7 +92,7 @@
 // is fake, so that the result does not depend on the machine's load.
 func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	fake := clock.NewFake(time.Now())
-	s, err := site.Start(site.Config{Engines: 3, Entries: 2, Clock: fake, NoPeers: true,
+	s, err := site.Start(site.Config{Engines: 3, Entries: 2, Clock: fake, DisablePeerLinks: true,
 		Engine: enginetest.Config{TokenInterval: time.Millisecond},
 		Entry:  entry.Config{RefreshInterval: time.Second, TickInterval: 2 * time.Millisecond}})
 	if err != nil {
--- a/pkg/entry/peers_test.go
+++ b/pkg/entry/peers_test.go
@@ -112,7 +112,7 @@
 	for i := range 3 {
 		err := s.StartEntryWith(fmt.Sprintf("cut-%d", i), func(c *entry.Config) {
 			r := startRelay(t, c.PeerListener.Addr().String())
-			r.Cut()
+			r.BlackholeAll()
 			c.PeerAdvertise = r.Addr()
 		})
 		if err != nil {
--- a/pkg/entry/quarantine_test.go
+++ b/pkg/entry/quarantine_test.go
@@ -25,7 +25,7 @@
 // crashSite returns a site of three engines, two services and two instances. Its upstreams
 // crash while they process a request that contains the word poison.
 func crashSite(t *testing.T) (*site.Site, *crashtest.Poison) {
-	p := &crashtest.Poison{After: 20 * time.Millisecond, Match: func(body []byte) bool { return bytes.Contains(body, []byte("poison")) }}
+	p := &crashtest.Poison{CrashDelay: 20 * time.Millisecond, Match: func(body []byte) bool { return bytes.Contains(body, []byte("poison")) }}
 	return startSiteWith(t, 3, 2, enginetest.Config{WeightVersion: 1}, func(cfg *site.Config) { cfg.Poison, cfg.RestartAfter = p, 250*time.Millisecond }), p
 }
 
@@ -38,7 +38,7 @@
 		t.Fatalf("got %d crashes, want at least 3", len(crashes))
 	}
 	late := 0
-	for _, at := range p.Runs() {
+	for _, at := range p.StartTimes() {
 		if at.Sub(crashes[2]) > sharedWithin {
 			late++
 		}
--- a/pkg/entry/silence_test.go
+++ b/pkg/entry/silence_test.go
@@ -18,7 +18,7 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-func startRelay(t *testing.T, target string) *relay.Relay {
+func startRelay(t *testing.T, target string) *relay.Proxy {
 	t.Helper()
 	r, err := relay.Start(target)
 	if err != nil {
@@ -50,7 +50,7 @@
 	if err := g.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	r.Silence()
+	r.BlackholeOpen()
 	before := s.Entries[0].Counter("upstream_errors")
 	for i := range 12 {
 		if err := ask(100 + i); err != nil {
@@ -95,7 +95,7 @@
 		})
 	}
 	waitFor(t, 5*time.Second, "all requests at the engine", func() bool { return s.Engines[0].Requests() == 5 })
-	r.Silence()
+	r.BlackholeOpen()
 	ask("silent")
 	rep, err := engine.NewClient(s.EngineAddrs[0], nil).LoadReport(t.Context())
 	if err != nil || rep.Queued == 0 {
@@ -127,7 +127,7 @@
 // must use a new connection. The second instance reads the catalogue only once an hour.
 func TestSilentPeerConnectionIsReplaced(t *testing.T) {
 	s := startSite(t, 1, 1, enginetest.Config{WeightVersion: 1})
-	var r *relay.Relay
+	var r *relay.Proxy
 	err := s.StartEntryWith("entry-far", func(c *entry.Config) {
 		r = startRelay(t, c.PeerListener.Addr().String())
 		c.RefreshInterval, c.PeerAdvertise, c.PeerKeepAlive = time.Hour, r.Addr(), 100*time.Millisecond
@@ -142,7 +142,7 @@
 	waitFor(t, 5*time.Second, "the first instance to see the second", func() bool { return len(s.Entries[0].View().Members) == 2 })
 	setTarget(t, s, 0, 2)
 	waitFor(t, 5*time.Second, "a notification over the connection", hasTarget(2))
-	r.Silence()
+	r.BlackholeOpen()
 	time.Sleep(time.Second) // ten keepalive intervals
 	setTarget(t, s, 0, 3)
 	waitFor(t, 5*time.Second, "a notification over a new connection", hasTarget(3))
--- a/pkg/node/observe.go
+++ b/pkg/node/observe.go
@@ -29,14 +29,14 @@
 // observer records metrics and log lines of requests and items.
 type observer struct {
 	node      *Node
-	failures  *logs.Budget
-	requests  *logs.Budget
-	items     *logs.Budget
-	upstreams *logs.Budget
+	failures  *logs.Limiter
+	requests  *logs.Limiter
+	items     *logs.Limiter
+	upstreams *logs.Limiter
 }
 
 func newObserver(n *Node) *observer {
-	return &observer{node: n, failures: logs.NewBudget(failureLines), requests: logs.NewBudget(requestLines), items: logs.NewBudget(itemLines), upstreams: logs.NewBudget(upstreamLines)}
+	return &observer{node: n, failures: logs.NewLimiter(failureLines), requests: logs.NewLimiter(requestLines), items: logs.NewLimiter(itemLines), upstreams: logs.NewLimiter(upstreamLines)}
 }
 
 func (o *observer) count(name string) { metrics.GetOrRegisterCounter(name, o.node.cfg.Metrics).Inc(1) }
@@ -51,8 +51,8 @@
 
 // logLine logs a line if budget allows it, as a warning if failed is set. Lines that
 // exceed the budget are counted.
-func (o *observer) logLine(budget *logs.Budget, failed bool, msg string, fields ...any) {
-	skipped, ok := budget.Take(time.Now())
+func (o *observer) logLine(budget *logs.Limiter, failed bool, msg string, fields ...any) {
+	skipped, ok := budget.Allow(time.Now())
 	if !ok {
 		o.count("log.lines.skipped")
 		return
--- a/pkg/service/service.go
+++ b/pkg/service/service.go
@@ -43,7 +43,7 @@
 // request with an Idempotency-Key header on its own when a reused connection breaks
 // before the response.
 func (c *Client) Call(ctx context.Context, method, key string, idempotent bool, body json.RawMessage) (json.RawMessage, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.server.Base+"/v1/calls/"+method, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.server.BaseURL+"/v1/calls/"+method, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
--- a/scripts/paired/main.go
+++ b/scripts/paired/main.go
@@ -43,12 +43,12 @@
 
 // play is one day played on one checkout.
 type play struct {
-	Dir   string   `json:"dir"`
-	Site  string   `json:"site"`
-	Day   string   `json:"day"`
-	Seed  int      `json:"seed"`
-	Worth float64  `json:"worth"`
-	Broke []string `json:"broke,omitempty"` // rules
+	Dir         string   `json:"dir"`
+	Site        string   `json:"site"`
+	Day         string   `json:"day"`
+	Seed        int      `json:"seed"`
+	Worth       float64  `json:"worth"`
+	BrokenRules []string `json:"broke,omitempty"` // rules
 }
 
 type key struct {
@@ -190,7 +190,7 @@
 	}
 	p.Worth = rep.G
 	for rule := range rep.Breaks {
-		p.Broke = append(p.Broke, rule)
+		p.BrokenRules = append(p.BrokenRules, rule)
 	}
 	return nil
 }
@@ -216,22 +216,22 @@
 	}
 	r := paired.Compare(all)
 	row("all", r, [2][]string{})
-	fmt.Printf("pairs needed for 0.02: %d, for 0.05: %d\n", r.NeededFor(0.02), r.NeededFor(0.05))
+	fmt.Printf("pairs needed for 0.02: %d, for 0.05: %d\n", r.PairsNeeded(0.02), r.PairsNeeded(0.05))
 }
 
 func named(p play) []string {
-	slices.Sort(p.Broke)
-	if len(p.Broke) == 0 {
+	slices.Sort(p.BrokenRules)
+	if len(p.BrokenRules) == 0 {
 		return nil
 	}
-	return []string{fmt.Sprintf("%s@%d", strings.Join(p.Broke, "+"), p.Seed)}
+	return []string{fmt.Sprintf("%s@%d", strings.Join(p.BrokenRules, "+"), p.Seed)}
 }
 
 func row(name string, r paired.Result, broke [2][]string) {
 	counts := "no"
-	if r.Counts() {
+	if r.Significant() {
 		counts = "yes"
 	}
-	fmt.Printf("%-24s %5d %7.3f %7.3f %+8.3f %8.3f %7.3f %6s %s / %s\n", name, r.Pairs, r.Before, r.After, r.Difference, r.HalfWidth, r.Spread, counts,
+	fmt.Printf("%-24s %5d %7.3f %7.3f %+8.3f %8.3f %7.3f %6s %s / %s\n", name, r.Pairs, r.Before, r.After, r.Difference, r.HalfWidth, r.StdDev, counts,
 		strings.Join(broke[0], " "), strings.Join(broke[1], " "))
 }
