--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,7 +1,8 @@
-// Package explain finds in the logs of many instances what happened to one
-// request, item or submission, and why: its own lines, and those that tell what
-// the instances that handled it believed of its upstreams, of the store and of
-// the configuration at the time.
+// Package explain analyses the logs of many instances. It extracts the timeline of
+// one request, item or submission: the lines that name it, and the lines in which
+// the instances that handled it logged changes of its upstreams, of the store and
+// of the configuration. It also sums the processing times of all submissions by
+// phase.
 package explain
 
 import (
@@ -15,22 +16,22 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Line is one log line.
+// Line is one log line in logfmt.
 type Line struct {
-	Time    string // as written
+	Time    string // time of day as logged, see clockFormat
 	Level   string
 	Message string
 	Node    string
-	Fields  []Field // the others, in order
+	Fields  []Field // all other keys, in the order of the line
 
-	at    time.Time
-	order int
+	at    time.Time // zero if the line has no valid time
+	order int       // index among the lines of its file
 }
 
-// Field is a name and value of a line.
+// Field is a key of a line and its value.
 type Field struct{ Name, Value string }
 
-// Get returns the value of a field, empty if there is none.
+// Get returns the value of the first field with a name, or "" if there is none.
 func (l Line) Get(name string) string {
 	for _, f := range l.Fields {
 		if f.Name == name {
@@ -40,16 +41,17 @@
 	return ""
 }
 
-// clockFormat is how lines tell the time of day.
+// clockFormat is the format of the time key, a time of day without a date.
 const clockFormat = "15:04:05.000"
 
-// around is how long before and after a request's lines the lines of its
-// upstreams, of the store and of the configuration are shown: calls time out
-// and leases lapse within it.
-const around = 5 * time.Second
+// contextWindow is the time before the first and after the last line of an ID
+// within which the lines of its upstreams, of the store and of the configuration
+// are included. Calls time out and leases expire within it.
+const contextWindow = 5 * time.Second
 
-// Read reads lines from r, which may stand behind a prefix such as an
-// instance's name, and passes over what is no log line.
+// Read returns the log lines in r. Text before "time=", such as an instance's name,
+// is dropped, and so is everything that is not a log line. An error is one of
+// reading r, or bufio.ErrTooLong for a line longer than maxLine.
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	sc := bufio.NewScanner(r)
@@ -69,9 +71,11 @@
 	return out, nil
 }
 
-// maxLine is the longest line that is read, in bytes.
+// maxLine is the length limit of a line, in bytes.
 const maxLine = 1 << 20
 
+// parse parses a line of logfmt. It returns false if the line is malformed or has no
+// msg.
 func parse(text string) (Line, bool) {
 	var l Line
 	d := logfmt.NewDecoder(strings.NewReader(text))
@@ -83,7 +87,7 @@
 		switch name {
 		case "time":
 			l.Time = value
-			l.at, _ = time.Parse(clockFormat, value) // lines without one sort first
+			l.at, _ = time.Parse(clockFormat, value) // lines without a valid time sort first
 		case "level":
 			l.Level = value
 		case "msg":
@@ -97,15 +101,15 @@
 	return l, d.Err() == nil && l.Message != ""
 }
 
-// Explanation is what the logs tell of one ID.
+// Explanation is the timeline of one request, item or submission.
 type Explanation struct {
 	ID    string
-	Lines []Line // in order of time: its own, and those around that bear on them
-	Cause string // the last failure among its own lines, or how it ended
+	Lines []Line // sorted by time: those that name the ID, and related ones
+	Cause string // decisive line among those that name the ID, see cause
 }
 
-// Find returns what lines tell of the request, item or submission with an ID;
-// ok is false if none names it.
+// Find returns the timeline of the request, item or submission with an ID; ok is
+// false if no line names the ID.
 func Find(lines []Line, id string) (e Explanation, ok bool) {
 	var own []Line
 	upstreams, nodes := map[string]bool{}, map[string]bool{}
@@ -135,7 +139,7 @@
 			last = l.at
 		}
 	}
-	from, to := first.Add(-around), last.Add(around)
+	from, to := first.Add(-contextWindow), last.Add(contextWindow)
 	e = Explanation{ID: id, Lines: own}
 	for _, l := range lines {
 		if l.names(id) || l.at.Before(from) || l.at.After(to) {
@@ -151,27 +155,32 @@
 	return e, true
 }
 
+// names reports whether the line's request, item or submission is id.
 func (l Line) names(id string) bool {
 	return l.Get("request") == id || l.Get("item") == id || l.Get("submission") == id
 }
 
-// dependencies are the lines that change what an instance believes.
-var dependencies = []string{"store lost", "store regained", "configuration in force", "draining", "start", "stop", "lease taken", "lease lost", "version named", "settings reloaded"}
+// dependencyMessages are the messages of lines that log a change of the store, of the
+// configuration or of the instance itself.
+var dependencyMessages = []string{"store lost", "store regained", "configuration in force", "draining", "start", "stop", "lease taken", "lease lost", "version named", "settings reloaded"}
 
-// bearsOn reports whether l tells what mattered to a request that met the given
-// upstreams, instances and submissions.
+// bearsOn reports whether l belongs in the timeline of a request that was handled by
+// the given nodes and named the given upstreams and submissions: it logs a change of
+// such an upstream or of a dependency at such a node, or is a line of such a
+// submission as a whole.
 func (l Line) bearsOn(upstreams, nodes, submissions map[string]bool) bool {
 	switch {
 	case l.Message == "upstream" || l.Message == "upstream gone" || l.Message == "entry not usable" || l.Message == "order" || l.Message == "load":
 		return upstreams[l.Get("upstream")] && nodes[l.Node]
-	case slices.Contains(dependencies, l.Message):
+	case slices.Contains(dependencyMessages, l.Message):
 		return nodes[l.Node]
 	}
 	return l.Get("submission") != "" && submissions[l.Get("submission")] && l.Get("item") == ""
 }
 
-// cause names the decisive line of a request's own lines: its last failure that
-// nothing good followed, or else its last line.
+// cause returns the text of the decisive line of own, which is sorted by time: the
+// last warning or error. If the last line is of level info and later than that, its
+// text precedes the failure's. Without any failure it is the last line.
 func cause(own []Line) string {
 	last := own[len(own)-1]
 	for _, l := range slices.Backward(own) {
@@ -185,6 +194,7 @@
 	return last.text()
 }
 
+// text returns the line for display, without its level and without empty values.
 func (l Line) text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s at %s on %s", l.Message, l.Time, l.Node)
@@ -196,7 +206,8 @@
 	return b.String()
 }
 
-// Write writes e as text: its lines, those of the ID itself marked, and the cause.
+// Write writes e as text: a line each, marked with ">" if it names the ID, and the
+// cause. An error is one of w.
 func (e Explanation) Write(w io.Writer) error {
 	for _, l := range e.Lines {
 		mark := " "
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -26,36 +26,36 @@
 	t.Helper()
 	ls, err := explain.Read(strings.NewReader(logText))
 	if err != nil || len(ls) != 10 {
-		t.Fatal(len(ls), err)
+		t.Fatalf("Read returned %d lines, %v, want 10 lines", len(ls), err)
 	}
 	return ls
 }
 
-// A request's timeline holds its own lines and what its instance believed of
-// its upstream and of the store at the time, and nothing else.
+// The timeline of a request has the lines that name it and its instance's lines on
+// its upstream and on the store near that time, and no others.
 func TestFindRequest(t *testing.T) {
 	e, ok := explain.Find(lines(t), "r1")
 	if !ok || len(e.Lines) != 4 || !strings.Contains(e.Cause, `request at 10:00:02.500 on a`) || !strings.Contains(e.Cause, "may_have_run") {
-		t.Fatalf("%+v", e)
+		t.Fatalf("Find = %+v, %v, want 4 lines and the failed request as cause", e, ok)
 	}
 	var out bytes.Buffer
 	if err := e.Write(&out); err != nil {
 		t.Fatal(err)
 	}
 	if text := out.String(); strings.Count(text, "\n> ") != 2 || strings.Index(text, "store lost") > strings.Index(text, "attempt failed") {
-		t.Fatal(text)
+		t.Fatalf("text has not 2 marked lines, or they are out of order:\n%s", text)
 	}
 }
 
-// An item's timeline holds its submission's lines, and its cause tells how it
-// ended and what had gone wrong before.
+// The timeline of an item includes its submission's lines, and its cause gives the
+// outcome and the failure before it.
 func TestFindItem(t *testing.T) {
 	e, ok := explain.Find(lines(t), "x1")
 	if !ok || len(e.Lines) != 3 || !strings.Contains(e.Cause, "i4") || !strings.Contains(e.Cause, "stream broke off") {
-		t.Fatalf("%+v", e)
+		t.Fatalf("Find = %+v, %v, want 3 lines and a cause with i4 and the interrupted stream", e, ok)
 	}
 	if _, ok := explain.Find(lines(t), "nothing"); ok {
-		t.Fatal("found what is not there")
+		t.Fatal("Find found an ID that no line names")
 	}
 }
 
@@ -67,8 +67,8 @@
 time=10:00:06.000 level=info msg="submission kept" node=c submission=l3 items=2
 `
 
-// The parts of a submission's time add up to it over its owners; one that has not
-// ended is left out, one turned away is counted.
+// The phases add up to a submission's whole time, also with several owners. A
+// submission that has not ended is left out, and a rejected one is counted.
 func TestSummarize(t *testing.T) {
 	ls, err := explain.Read(strings.NewReader(runsText))
 	if err != nil {
@@ -76,20 +76,20 @@
 	}
 	s := explain.Summarize(ls)
 	if len(s.Submissions) != 1 || s.Rejections != 1 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("Summarize = %+v, want 1 submission and 1 rejection", s)
 	}
 	c, sum := s.Submissions[0], time.Duration(0)
 	for _, d := range c.Phases {
 		sum += d
 	}
 	if c.Duration != 5500*time.Millisecond || sum != c.Duration || c.Runs != 2 || c.Attempts != 7 || c.EmptyAttempts != 2 {
-		t.Fatalf("%+v, parts add up to %v", c, sum)
+		t.Fatalf("timing %+v with phases of %v in all, want 5.5s in 2 runs, 7 attempts, 2 of them empty", c, sum)
 	}
 	if c.Phases[explain.Generating] != 3500*time.Millisecond || c.Phases[explain.NoOwner] != 50*time.Millisecond || c.Phases[explain.Other] != 1050*time.Millisecond {
-		t.Fatalf("%+v", c.Phases)
+		t.Fatalf("phases %v, want 3.5s generating, 50ms without an owner, 1.05s of others", c.Phases)
 	}
 	var out bytes.Buffer
-	if err := s.Write(&out, 5); err != nil || !strings.Contains(out.String(), "all 1") || !strings.Contains(out.String(), "turned away: 1") {
-		t.Fatal(out.String(), err)
+	if err := s.Write(&out, 5); err != nil || !strings.Contains(out.String(), "all 1") || !strings.Contains(out.String(), "rejected: 1") {
+		t.Fatalf("Write: %v, text:\n%s", err, out.String())
 	}
 }
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -10,49 +10,51 @@
 	"time"
 )
 
-// Phase is a part of the time that a submission takes, as its owners log it of the
-// item that had its result last.
+// Phase is a phase of a submission's processing time, by the timing that its owners
+// log of the item that finished last.
 type Phase string
 
-// The parts, in the order in which they come.
+// The phases in the order in which a submission passes through them.
 const (
-	NoOwner     Phase = "no owner"      // accepted, and not run yet
-	NoEngine    Phase = "no engine"     // before the last item's text began
-	Generating  Phase = "generating"    // at engines
-	Interrupted Phase = "interrupted"   // its text begun, and at no engine
-	Scoring     Phase = "scoring"       // its text whole
-	Writing     Phase = "writing"       // its result not written
-	Other       Phase = "other, reader" // until its sender ended it
+	NoOwner     Phase = "no owner"      // accepted, not run by any instance yet
+	NoEngine    Phase = "no engine"     // before the item's first event
+	Generating  Phase = "generating"    // an engine is generating its text
+	Interrupted Phase = "interrupted"   // between attempts, after the first event
+	Scoring     Phase = "scoring"       // from the complete text to its score
+	Writing     Phase = "writing"       // from its score to the stored result
+	Other       Phase = "other, reader" // the rest, until its sender ended the submission
 )
 
-// Phases are all parts.
+// Phases are all phases in order.
 var Phases = []Phase{NoOwner, NoEngine, Generating, Interrupted, Scoring, Writing, Other}
 
-// fields are the fields of the line of a run's end that tell parts.
-var fields = map[string]Phase{"owner_after": NoOwner, "waited": NoEngine, "generating": Generating, "interrupted": Interrupted, "scoring": Scoring, "writing": Writing}
+// phaseKeys maps keys of the message "submission runs no more" to the phases whose
+// times they give.
+var phaseKeys = map[string]Phase{"owner_after": NoOwner, "waited": NoEngine, "generating": Generating, "interrupted": Interrupted, "scoring": Scoring, "writing": Writing}
 
-// SubmissionTiming is what the logs tell of one submission.
+// SubmissionTiming is the processing time of one submission as logged by its owners.
 type SubmissionTiming struct {
 	ID, Model, Step         string
-	Duration                time.Duration // from its acceptance to its end by its sender; 0 if it has none
-	Runs                    int           // at owners
-	Attempts, EmptyAttempts int           // of its items at engines
+	Duration                time.Duration // from its acceptance until its sender ended it
+	Runs                    int           // times that an instance ran it as its owner
+	Attempts, EmptyAttempts int           // of its items at engines; those without any event
 	Phases                  map[Phase]time.Duration
 
 	keptAt, endedAt time.Time
 }
 
-// Summary is what the logs tell of all submissions.
+// Summary is the processing times of all submissions.
 type Summary struct {
-	Submissions []SubmissionTiming // slowest first
-	Rejections  int                // submissions that were turned away, each time
+	Submissions []SubmissionTiming // those accepted and ended in the logs, slowest first
+	Rejections  int                // calls whose submission was not accepted
 }
 
-// Summarize returns what lines tell of all submissions.
+// Summarize returns the processing times of the submissions in lines. A submission
+// without a line of its acceptance or of its end is left out.
 func Summarize(lines []Line) Summary {
 	var s Summary
 	byID := map[string]*SubmissionTiming{}
-	of := func(id string) *SubmissionTiming {
+	timingOf := func(id string) *SubmissionTiming {
 		if byID[id] == nil {
 			byID[id] = &SubmissionTiming{ID: id, Phases: map[Phase]time.Duration{}}
 		}
@@ -64,15 +66,15 @@
 		case "submission not kept":
 			s.Rejections++
 		case "submission kept":
-			if c := of(id); c.keptAt.IsZero() || l.at.Before(c.keptAt) {
+			if c := timingOf(id); c.keptAt.IsZero() || l.at.Before(c.keptAt) {
 				c.keptAt = l.at
 			}
 		case "submission ended":
-			if c := of(id); c.endedAt.IsZero() || l.at.Before(c.endedAt) {
+			if c := timingOf(id); c.endedAt.IsZero() || l.at.Before(c.endedAt) {
 				c.endedAt = l.at
 			}
 		case "submission runs no more":
-			of(id).add(l)
+			timingOf(id).add(l)
 		}
 	}
 	for _, c := range byID {
@@ -87,14 +89,14 @@
 	return s
 }
 
-// add takes the line of the end of one run.
+// add adds the times and counts of a line "submission runs no more".
 func (c *SubmissionTiming) add(l Line) {
 	c.Model, c.Step = l.Get("model"), l.Get("step")
 	c.Runs++
-	for name, p := range fields {
+	for name, p := range phaseKeys {
 		d, err := time.ParseDuration(l.Get(name))
 		if err != nil || p == NoOwner && c.Runs > 1 {
-			continue // a later owner's time includes that of the ones before
+			continue // a later owner's owner_after includes the runs of the earlier ones
 		}
 		c.Phases[p] += max(d, 0)
 	}
@@ -102,7 +104,7 @@
 	c.EmptyAttempts += number(l.Get("refused"))
 }
 
-// number reads a count; a line without one counts none.
+// number parses a count; a missing or malformed one is 0.
 func number(text string) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -111,7 +113,7 @@
 	return n
 }
 
-// finish works out what the lines do not tell: the rest until the sender's end.
+// finish sets the total time, and the time that no owner logged.
 func (c *SubmissionTiming) finish() {
 	c.Duration = c.endedAt.Sub(c.keptAt)
 	rest := c.Duration
@@ -121,7 +123,8 @@
 	c.Phases[Other] = max(rest, 0)
 }
 
-// Write writes the sums of all submissions, and a row for each of the slowest.
+// Write writes a table with the sums over all submissions and a row for each of the
+// slowest ones, in seconds by phase. An error is one of w.
 func (s Summary) Write(w io.Writer, slowest int) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "submission\tmodel\tstep\ttook\truns\tattempts\trefused\t")
@@ -149,6 +152,6 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "submissions turned away: %d times\n", s.Rejections)
+	_, err := fmt.Fprintf(w, "submissions rejected: %d times\n", s.Rejections)
 	return err
 }
