--- a/internal/snapshot/duties.go
+++ b/internal/snapshot/duties.go
@@ -14,34 +14,34 @@
 	"github.com/zinnialadder/zinnialadder/pkg/usage"
 )
 
-// DutyTables returns the tables that Duties are in, d being what reads the rows of
-// operators and upstreams.
+// DutyTables returns the tables that State.Duties needs. d gives the names of the tables
+// of operators and upstreams.
 func DutyTables(d node.Decoder) []Table {
 	return append(VersionTables(d),
 		Table{Name: node.LeasesTable, Prefixes: []string{node.LeasesTable + "//"}},
 		Table{Name: usage.ReportsTable, Prefixes: []string{usage.ReportsPrefix()}})
 }
 
-// Duties are what one instance does for the whole site: it reports the use of
-// customers, and orders engines.
+// Duties is the state of the tasks that a lease holder does for the whole site: it
+// reports customers' usage and orders engines.
 type Duties struct {
 	TakenAt time.Time      `json:"taken_at"`
 	Holders []Lease        `json:"holders"`
-	Reports []usage.Report `json:"reports"` // the oldest first
-	Missing []usage.Window `json:"missing"` // between the oldest and the newest report
+	Reports []usage.Report `json:"reports"` // oldest first
+	Missing []usage.Window `json:"missing"` // without a report, between the oldest and the newest one
 	Engines []EngineCount  `json:"engines"`
 }
 
-// EngineCount is how many engines of a pool a data centre has.
+// EngineCount is the number of engines of a pool in a data centre.
 type EngineCount struct {
 	Pool       string `json:"pool"`
 	DataCentre string `json:"data_centre"`
 	Regular    int    `json:"regular"`
-	Spot       int    `json:"spot"` // that may be taken back
+	Spot       int    `json:"spot"` // that the cloud provider may take back
 	Draining   int    `json:"draining"`
 }
 
-// Duties returns what st says of them.
+// Duties returns the state of the duties. It sorts st.Reports by window.
 func (st State) Duties() Duties {
 	d := Duties{TakenAt: st.TakenAt, Holders: st.Leases, Reports: st.Reports}
 	slices.SortFunc(d.Reports, func(a, b usage.Report) int { return cmp.Compare(a.Window, b.Window) })
@@ -72,7 +72,7 @@
 	return d
 }
 
-// Write writes d as text.
+// Write writes d as text. An error is one of w.
 func (d Duties) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "as of\t%s\n", d.TakenAt.UTC().Format(time.DateTime))
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// format names the file's format and its version.
+// format identifies the file format and its version.
 const format = "zinnialadder-snapshot-1"
 
-// ErrFormat is returned for a file that holds no snapshot, or not a whole one.
-var ErrFormat = errors.New("snapshot: not a whole snapshot file")
+// ErrFormat is returned for a file that is not a snapshot, or a truncated one.
+var ErrFormat = errors.New("snapshot: malformed or truncated snapshot file")
 
-// header is the first line of a file. The others are a row or an object each.
+// header is the first line of a file. Each further line is a row or an object, all
+// rows first.
 type header struct {
 	Format  string    `json:"format"`
 	TakenAt time.Time `json:"taken_at"`
@@ -25,7 +26,7 @@
 	Later   []string  `json:"later,omitempty"`
 }
 
-// Write writes s as lines of JSON.
+// Write writes s as lines of JSON. An error is one of w.
 func (s Snapshot) Write(w io.Writer) error {
 	b := bufio.NewWriter(w)
 	enc := json.NewEncoder(b)
@@ -45,12 +46,13 @@
 	return b.Flush()
 }
 
-// Read reads a snapshot that Write wrote.
+// Read reads a snapshot that Write wrote. An error is ErrFormat, with what could not
+// be decoded.
 func Read(r io.Reader) (Snapshot, error) {
 	dec := json.NewDecoder(r)
 	var h header
 	if err := dec.Decode(&h); err != nil || h.Format != format {
-		return Snapshot{}, fmt.Errorf("%w: no line of format %q at its beginning", ErrFormat, format)
+		return Snapshot{}, fmt.Errorf("%w: first line is not a header of format %q", ErrFormat, format)
 	}
 	s := Snapshot{TakenAt: h.TakenAt, Version: h.Version, ChangedSince: h.Later}
 	for i := range h.Rows {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot copies what the product keeps in the platform's store, for
-// operators and support cases, and tells what it says.
+// Package snapshot copies the system's tables and objects from the platform's store,
+// for operators and support cases, and decodes them into a State.
 package snapshot
 
 import (
@@ -14,29 +14,29 @@
 	"github.com/zinnialadder/zinnialadder/pkg/submission"
 )
 
-// Store is the part of the platform's store that is read.
+// Store is the part of the platform's store that Take reads.
 type Store interface {
 	platform.Follower
 	GetObject(ctx context.Context, name string) ([]byte, error)
 }
 
-// Table is a table that is copied.
+// Table is a table to copy.
 type Table struct {
 	Name     string
-	Prefixes []string // cover its keys, one for each partition
-	// Redact returns what may be copied of a row; nil for all of it.
+	Prefixes []string // of all its keys, one for each partition
+	// Redact returns a row without its secrets; nil if the table has none.
 	Redact func(platform.Row) platform.Row
 }
 
-// copied returns what the snapshot holds of a row of t.
-func (t Table) copied(r platform.Row) platform.Row {
+// redacted returns r as the snapshot holds it.
+func (t Table) redacted(r platform.Row) platform.Row {
 	if t.Redact == nil {
 		return r
 	}
 	return t.Redact(r)
 }
 
-// Row is a row of the store. Its value may be anything that somebody wrote.
+// Row is a row of the store. Its value need not be well-formed.
 type Row struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -49,24 +49,25 @@
 	Data []byte `json:"data"`
 }
 
-// Snapshot is a copy of tables as of one version of the store, and of the objects
-// that belong to them.
+// Snapshot is a copy of tables as of one version of the store, with the objects
+// that their rows refer to.
 type Snapshot struct {
 	TakenAt time.Time
 	Version uint64
-	Rows    []Row // in order of key
+	Rows    []Row // sorted by key
 	Objects []Object
-	// ChangedSince are the keys of rows that changed again after Version while they were
-	// copied, and may be missing or older than Version.
+	// ChangedSince has the keys of rows that changed after Version during the copy. Such
+	// a row may be missing from Rows, or be of an older version.
 	ChangedSince []string
 }
 
-// scanRows is how many rows one call reads, the most that the store answers.
+// scanRows is the row limit of one scan call, the largest that the store accepts.
 const scanRows = 500
 
-// Take copies tables, and with objects set also the objects of submissions. It
-// reads each table once and then what has changed in it since, so that all are
-// as of the same version.
+// Take copies tables, and the objects of submissions if objects is set. It reads each
+// table in full and then its changes, so that all rows are as of the newest version
+// that a full read returned. The snapshot's time is now. Errors are those of s, with
+// the table's or object's name.
 func Take(ctx context.Context, s Store, tables []Table, objects bool, now time.Time) (Snapshot, error) {
 	snap := Snapshot{TakenAt: now}
 	rows := map[string]platform.Row{}
@@ -95,8 +96,8 @@
 	return snap, snap.readObjects(ctx, s)
 }
 
-// scan reads a table into rows and returns the oldest and the newest version that
-// its pages are of.
+// scan reads a table into rows, and returns the oldest and the newest version of its
+// pages.
 func scan(ctx context.Context, s Store, t Table, rows map[string]platform.Row) (first, last uint64, err error) {
 	for _, prefix := range t.Prefixes {
 		from := ""
@@ -110,7 +111,7 @@
 			}
 			last = max(last, page.Version)
 			for _, r := range page.Rows {
-				rows[r.Key] = t.copied(r)
+				rows[r.Key] = t.redacted(r)
 				from = r.Key + "\x00"
 			}
 			if !page.More || len(page.Rows) == 0 {
@@ -121,8 +122,8 @@
 	return first, last, nil
 }
 
-// catchUp applies to rows what has changed in a table from one version to
-// another, and returns the keys that changed later.
+// catchUp applies a table's changes after version from, up to version to, to rows. It
+// returns the keys of the changes after to that the store returned with them.
 func catchUp(ctx context.Context, s Store, t Table, from, to uint64, rows map[string]platform.Row) (later []string, err error) {
 	for from < to {
 		ch, err := s.Changes(ctx, t.Name, from, 0)
@@ -136,7 +137,7 @@
 			case c.Deleted:
 				delete(rows, c.Key)
 			default:
-				rows[c.Key] = t.copied(c.Row)
+				rows[c.Key] = t.redacted(c.Row)
 			}
 		}
 		if len(ch.Rows) == 0 || ch.Version <= from {
@@ -147,11 +148,11 @@
 	return later, nil
 }
 
-// readObjects reads the objects that belong to the snapshot's rows. One that is
-// gone has been deleted since.
+// readObjects reads the objects that the snapshot's rows refer to. It skips those not
+// found: they were deleted after the rows were read.
 func (s *Snapshot) readObjects(ctx context.Context, store Store) error {
 	for _, r := range s.Rows {
-		if !belongs(r.Key) {
+		if !mayHaveObjects(r.Key) {
 			continue
 		}
 		for _, name := range submission.ObjectNames(r.row()) {
@@ -168,6 +169,7 @@
 	return nil
 }
 
+// row returns r as a row of the store, which the packages that own it decode.
 func (r Row) row() platform.Row {
 	return platform.Row{Key: r.Key, Version: r.Version, Value: r.Value}
 }
--- a/internal/snapshot/state.go
+++ b/internal/snapshot/state.go
@@ -21,8 +21,8 @@
 	"github.com/zinnialadder/zinnialadder/pkg/watch"
 )
 
-// Tables returns the tables that a site's state is in, d being what reads its
-// operators' and upstreams' rows.
+// Tables returns the tables of a whole State. d gives the names of the tables of
+// operators and upstreams.
 func Tables(d node.Decoder) []Table {
 	return append(DutyTables(d),
 		Table{Name: node.AuditTable, Prefixes: []string{node.AuditTable + "//"}},
@@ -30,8 +30,8 @@
 		Table{Name: submission.ResultsTable, Prefixes: submission.ResultPrefixes()})
 }
 
-// VersionTables returns the tables that Versions are in: not the results, which hold
-// texts and are by far the largest.
+// VersionTables returns the tables that State.ServedVersions needs. They do not include
+// the results, which hold texts and are by far the largest table.
 func VersionTables(d node.Decoder) []Table {
 	return []Table{
 		{Name: d.OperatorTable, Prefixes: []string{d.OperatorTable + "//"}, Redact: d.RedactKeys},
@@ -41,68 +41,69 @@
 	}
 }
 
-// belongs reports whether the row at key may have objects.
-func belongs(key string) bool {
+// mayHaveObjects reports whether the row at key may refer to objects.
+func mayHaveObjects(key string) bool {
 	return strings.HasPrefix(key, submission.HeadsTable+"/") || strings.HasPrefix(key, submission.ResultsTable+"/")
 }
 
-// State is what a snapshot says of a site.
+// State is the state of a site, decoded from a snapshot.
 type State struct {
 	TakenAt        time.Time          `json:"taken_at"`
 	Configuration  Configuration      `json:"configuration"`
-	TargetVersions map[string]uint64  `json:"weight_versions"` // named, by model
+	TargetVersions map[string]uint64  `json:"weight_versions"` // target version by model
 	Instances      []Instance         `json:"instances"`
 	Upstreams      []upstream.Entry   `json:"upstreams"`
 	Leases         []Lease            `json:"leases"`
 	Relays         []Relay            `json:"relays"`
 	Suspects       []Suspect          `json:"suspects"`
 	Submissions    []Submission       `json:"submissions"`
-	Changes        []node.AuditRecord `json:"changes"`    // of the configuration, the oldest first
-	Reports        []usage.Report     `json:"reports"`    // of customers' use
-	Unreadable     []string           `json:"unreadable"` // rows that could not be read, and why
+	Changes        []node.AuditRecord `json:"changes"`    // audit records of the configuration, oldest first
+	Reports        []usage.Report     `json:"reports"`    // of customers' usage
+	Unreadable     []string           `json:"unreadable"` // keys of the rows that could not be decoded, with the error
 }
 
-// Configuration is the configuration that the operators have written.
+// Configuration summarizes the configuration that operators have stored.
 type Configuration struct {
 	Version uint64   `json:"version"` // 0 for none
 	Routes  int      `json:"routes"`
 	Pools   []string `json:"pools"`
-	// Customers is how many customers have keys; 0 where callers need none.
+	// Customers is the number of customers with keys; 0 if callers need no key.
 	Customers int `json:"customers"`
 }
 
-// Instance is an instance as its row tells it.
+// Instance is the membership row of an instance.
 type Instance struct {
 	Name          string    `json:"name"`
 	StartID       string    `json:"start"`
 	Address       string    `json:"address"`
 	DataCentre    string    `json:"data_centre"`
 	Draining      bool      `json:"draining"`
-	Configuration uint64    `json:"configuration"` // version in force there
-	WatchSource   string    `json:"follows"`       // what it follows the store's tables by
-	RenewedAt     time.Time `json:"renewed_at"`    // by its own clock, as ExpiresAt is
-	ExpiresAt     time.Time `json:"expires_at"`
+	Configuration uint64    `json:"configuration"` // version in force at the instance
+	WatchSource   string    `json:"follows"`       // relay or other source that it follows the store's tables by
+	RenewedAt     time.Time `json:"renewed_at"`    // by the clock of the instance
+	ExpiresAt     time.Time `json:"expires_at"`    // by the clock of the instance
 }
 
-// Relay is an instance that others follow the store's tables through.
+// Relay is the row of a relay, an instance that reads the store's tables on behalf of
+// others.
 type Relay struct {
 	DataCentre string `json:"data_centre"`
 	Slot       int    `json:"slot"`
 	StartID    string `json:"start"`
 	Address    string `json:"address"`
-	Stale      bool   `json:"gone"`     // its instance is not there, or has started again
-	Watchers   int    `json:"watchers"` // instances whose rows tell that they follow it
+	Stale      bool   `json:"gone"`     // its instance has no row, or one of another start
+	Watchers   int    `json:"watchers"` // instances whose rows name it as their source
 }
 
-// Suspect is a request, by its content, under which upstreams have ended since one
-// answered it.
+// Suspect is the content fingerprint of requests that were in flight at upstreams
+// when these crashed, with the crashes and trials since one was last answered.
 type Suspect struct {
 	Content string   `json:"content"`
-	Crashes []string `json:"ends"`   // starts of upstreams
-	Trials  int      `json:"trials"` // that were claimed
+	Crashes []string `json:"ends"`   // processes of upstreams that crashed
+	Trials  int      `json:"trials"` // trials claimed by instances
 }
 
-// Lease is the lease of a duty that one instance has.
+// Lease is the lease of a duty and its holder.
 type Lease struct {
 	Name      string    `json:"name"`
 	Holder    string    `json:"holder"`
@@ -110,15 +111,15 @@
 	ExpiresAt time.Time `json:"expires_at"` // by the holder's clock
 }
 
-// Submission is a batch submission.
+// Submission is the head of a submission with the number of its results.
 type Submission struct {
 	submission.Head
-	Fencing uint64 `json:"fencing"`
-	Results int    `json:"results"` // written
+	Fencing uint64 `json:"fencing"` // fencing token of its owner, the version of its row
+	Results int    `json:"results"` // results stored
 }
 
-// State returns what s says, d being what reads the rows of operators and
-// upstreams.
+// State decodes the rows of s. Decoder d reads the rows of operators and upstreams. A row
+// that cannot be decoded is listed in Unreadable.
 func (s Snapshot) State(d node.Decoder) State {
 	st := State{TakenAt: s.TakenAt, TargetVersions: map[string]uint64{}}
 	results := map[string]int{}
@@ -143,7 +144,7 @@
 		case submission.HeadsTable:
 			err = st.submission(r)
 		case submission.ResultsTable:
-			results[resultOf(r.Key)]++
+			results[submissionOfResult(r.Key)]++
 		}
 		if err != nil {
 			st.Unreadable = append(st.Unreadable, fmt.Sprintf("%s: %v", r.Key, err))
@@ -157,11 +158,12 @@
 	return st
 }
 
-// resultOf returns the ID of the submission that the result at key is of.
-func resultOf(key string) string {
+// submissionOfResult returns the ID of the submission of the result row at key.
+func submissionOfResult(key string) string {
 	return submission.IDFromKey(key[:strings.LastIndexByte(key, '/')])
 }
 
+// operator decodes a row of the operators: a target version or the configuration.
 func (st *State) operator(d node.Decoder, r Row) error {
 	if model, v, ok := d.TargetVersion(r.row()); ok {
 		st.TargetVersions[model] = v
@@ -179,6 +181,7 @@
 	return nil
 }
 
+// entry decodes the row of an upstream.
 func (st *State) entry(d node.Decoder, r Row) error {
 	e, err := d.Entry(r.row())
 	if err == nil {
@@ -187,7 +190,7 @@
 	return err
 }
 
-// suspect takes a fact of a request that crashes upstreams.
+// suspect decodes the key of a quarantine row, a crash or a trial of a content.
 func (st *State) suspect(key string) error {
 	f, err := quarantine.ParseKey(key)
 	if err != nil {
@@ -206,6 +209,8 @@
 	return nil
 }
 
+// instance decodes a row of the membership table: one of the quarantine or of an
+// instance.
 func (st *State) instance(r Row) error {
 	if key, ok := strings.CutPrefix(r.Key, node.QuarantinePrefix()); ok {
 		return st.suspect(key)
@@ -235,7 +240,7 @@
 	return err
 }
 
-// countWatchers fills in what instances' rows tell of relays.
+// countWatchers sets the fields of relays that depend on the rows of instances.
 func (st *State) countWatchers() {
 	starts, watchers := map[string]bool{}, map[string]int{}
 	for _, in := range st.Instances {
@@ -255,6 +260,7 @@
 	return err
 }
 
+// change decodes an audit record of a configuration change.
 func (st *State) change(r Row) error {
 	var c node.AuditRecord
 	err := json.Unmarshal(r.Value, &c)
@@ -272,7 +278,7 @@
 	return err
 }
 
-// Write writes st as text.
+// Write writes st as text, a line for each item. An error is one of w.
 func (st State) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "configuration\tversion %d, %d routes, %d customers, pools %s\n", st.Configuration.Version, st.Configuration.Routes, st.Configuration.Customers, strings.Join(st.Configuration.Pools, " "))
@@ -289,7 +295,7 @@
 		fmt.Fprintf(t, "lease %s\theld by %s\tfencing %d\n", l.Name, l.Holder, l.Fencing)
 	}
 	for _, s := range st.Suspects {
-		fmt.Fprintf(t, "suspect %s\t%d upstreams ended\t%d trials\t%v\n", s.Content, len(s.Crashes), s.Trials, s.Crashes)
+		fmt.Fprintf(t, "suspect %s\t%d upstreams crashed\t%d trials\t%v\n", s.Content, len(s.Crashes), s.Trials, s.Crashes)
 	}
 	for _, model := range slices.Sorted(maps.Keys(st.TargetVersions)) {
 		fmt.Fprintf(t, "model %s\tversion %d\n", model, st.TargetVersions[model])
@@ -302,7 +308,7 @@
 		if c.Customers != nil {
 			customers = *c.Customers
 		}
-		fmt.Fprintf(t, "change to %d\tfrom %d\tseen %s by %s\tadded %v\tremoved %v\tchanged %v\tlimits %t\tpools %t\tcustomers added %v, removed %v, with other keys %v\n", c.Version, c.PreviousVersion,
+		fmt.Fprintf(t, "change to %d\tfrom %d\tseen %s by %s\tadded %v\tremoved %v\tchanged %v\tlimits %t\tpools %t\tcustomers added %v, removed %v, with changed keys %v\n", c.Version, c.PreviousVersion,
 			c.SeenAt.UTC().Format(time.DateTime), c.SeenBy, c.Added, c.Removed, c.Changed, c.Limits, c.Pools, customers.Added, customers.Removed, customers.KeysChanged)
 	}
 	for _, u := range st.Unreadable {
@@ -311,7 +317,7 @@
 	return t.Flush()
 }
 
-// phase says where a submission stands.
+// phase returns the phase of a submission for display.
 func phase(h submission.Head) string {
 	switch {
 	case h.Ended:
--- a/internal/snapshot/versions.go
+++ b/internal/snapshot/versions.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// silentAfter is how long after the end of its row's time an instance is called
-// silent: the clocks of instances and of who looks may differ by seconds.
-const silentAfter = 5 * time.Second
+// staleAfter is the time from the expiry of an instance's row until the instance is
+// counted as stale. The clocks of instances and of the reader may differ by seconds.
+const staleAfter = 5 * time.Second
 
-// namedBehind is how many of the instances that are behind are named.
-const namedBehind = 5
+// maxBehindListed is the limit of instances listed as behind in a line of text.
+const maxBehindListed = 5
 
 // Versions is what each data centre serves: the configuration in force at its
-// instances, as their rows tell, and the weight versions of its engines.
+// instances by their membership rows, and the weight versions of its engines.
 type Versions struct {
 	TakenAt       time.Time            `json:"taken_at"`
-	Configuration uint64               `json:"configuration"` // as the operators wrote it; 0 for none
+	Configuration uint64               `json:"configuration"` // version that operators have stored; 0 if there is none
 	DataCentres   []DataCentreVersions `json:"data_centres"`
 	Models        []ModelVersions      `json:"models"`
 }
@@ -30,38 +30,38 @@
 // DataCentreVersions is the configuration in force in a data centre.
 type DataCentreVersions struct {
 	DataCentre string         `json:"data_centre"`
-	Instances  int            `json:"instances"` // that are not silent
-	Stale      int            `json:"silent"`    // whose row stands though its time is over
-	InForce    []VersionCount `json:"in_force"`  // newest first; of instances that are not silent
-	Behind     []string       `json:"behind"`    // instances at an older version than the operators'
-	// OldestRenewal is when the instance that has told nothing for longest renewed its
-	// row: it may have taken up a newer version since.
+	Instances  int            `json:"instances"` // instances that are not stale
+	Stale      int            `json:"silent"`    // instances whose rows have expired and were not deleted
+	InForce    []VersionCount `json:"in_force"`  // of instances that are not stale, newest version first
+	Behind     []string       `json:"behind"`    // instances with an older version in force than the stored one
+	// OldestRenewal is the earliest renewal time of the rows counted in Instances. An
+	// instance may have applied a newer version after the renewal of its row.
 	OldestRenewal time.Time `json:"oldest_told"`
 }
 
-// ModelVersions is the weight versions that engines hold of a model.
+// ModelVersions is the weight versions of a model that engines hold.
 type ModelVersions struct {
 	Model         string `json:"model"`
-	TargetVersion uint64 `json:"named"` // newest version
+	TargetVersion uint64 `json:"named"` // 0 if none is set
 	// MinVersion is the oldest version that all open submissions accept; 0 if none is open.
 	MinVersion  uint64           `json:"asked"`
 	DataCentres []EngineVersions `json:"data_centres"`
 }
 
-// EngineVersions counts the engines of one data centre by the version that they hold.
+// EngineVersions counts the engines of one data centre by the weight version that they hold.
 type EngineVersions struct {
 	DataCentre string         `json:"data_centre"`
 	Counts     []VersionCount `json:"holding"` // newest first
-	TooOld     int            `json:"too_old"` // for what is asked
+	TooOld     int            `json:"too_old"` // engines that hold a version older than MinVersion
 }
 
-// VersionCount is how many there are at a version.
+// VersionCount is the number of instances or engines at a version.
 type VersionCount struct {
 	Version uint64 `json:"version"`
 	Count   int    `json:"count"`
 }
 
-// ServedVersions returns what each data centre serves.
+// ServedVersions returns the versions that each data centre serves.
 func (st State) ServedVersions() Versions {
 	v := Versions{TakenAt: st.TakenAt, Configuration: st.Configuration.Version}
 	byCentre := map[string][]Instance{}
@@ -72,17 +72,17 @@
 		v.DataCentres = append(v.DataCentres, st.inForce(dc, byCentre[dc]))
 	}
 	for _, model := range slices.Sorted(maps.Keys(st.models())) {
-		v.Models = append(v.Models, st.held(model))
+		v.Models = append(v.Models, st.heldVersions(model))
 	}
 	return v
 }
 
-// inForce returns what is in force at the instances of the data centre dc.
+// inForce returns the configuration versions in force at instances of data centre dc.
 func (st State) inForce(dc string, instances []Instance) DataCentreVersions {
 	out := DataCentreVersions{DataCentre: dc}
 	counts := map[uint64]int{}
 	for _, in := range instances {
-		if st.TakenAt.Sub(in.ExpiresAt) > silentAfter {
+		if st.TakenAt.Sub(in.ExpiresAt) > staleAfter {
 			out.Stale++
 			continue
 		}
@@ -99,7 +99,7 @@
 	return out
 }
 
-// models returns the models that a version is named of or an engine holds.
+// models returns the models that have a target version or are held by an engine.
 func (st State) models() map[string]bool {
 	out := map[string]bool{}
 	for m := range st.TargetVersions {
@@ -113,8 +113,9 @@
 	return out
 }
 
-// held returns the versions of model that engines hold.
-func (st State) held(model string) ModelVersions {
+// heldVersions returns the versions of model that engines hold. Draining engines are
+// not counted.
+func (st State) heldVersions(model string) ModelVersions {
 	out := ModelVersions{Model: model, TargetVersion: st.TargetVersions[model]}
 	for _, s := range st.Submissions {
 		if s.Model == model && s.Open() {
@@ -144,6 +145,7 @@
 	return out
 }
 
+// newestFirst returns counts sorted by version, newest first.
 func newestFirst(counts map[uint64]int) []VersionCount {
 	var out []VersionCount
 	for version, n := range counts {
@@ -153,7 +155,7 @@
 	return out
 }
 
-// Write writes v as text.
+// Write writes v as text. An error is one of w.
 func (v Versions) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "configuration %d, as of %s\n", v.Configuration, v.TakenAt.UTC().Format(time.TimeOnly))
@@ -161,7 +163,7 @@
 		fmt.Fprintf(t, "%s\t%d instances, %d silent\tin force %s\t%s\n", dc.DataCentre, dc.Instances, dc.Stale, countsText(dc.InForce), dc.behindText())
 	}
 	for _, m := range v.Models {
-		fmt.Fprintf(t, "model %s\tversion %d named\t%s\n", m.Model, m.TargetVersion, m.askedText())
+		fmt.Fprintf(t, "model %s\tversion %d named\t%s\n", m.Model, m.TargetVersion, m.requiredText())
 		for _, c := range m.DataCentres {
 			fmt.Fprintf(t, "  %s\tengines at %s\t%d too old\n", c.DataCentre, countsText(c.Counts), c.TooOld)
 		}
@@ -173,14 +175,14 @@
 	if len(dc.Behind) == 0 {
 		return "none behind"
 	}
-	text := fmt.Sprintf("%d behind as told since %s: %s", len(dc.Behind), dc.OldestRenewal.UTC().Format(time.TimeOnly), strings.Join(dc.Behind[:min(namedBehind, len(dc.Behind))], " "))
-	if more := len(dc.Behind) - namedBehind; more > 0 {
+	text := fmt.Sprintf("%d behind as told since %s: %s", len(dc.Behind), dc.OldestRenewal.UTC().Format(time.TimeOnly), strings.Join(dc.Behind[:min(maxBehindListed, len(dc.Behind))], " "))
+	if more := len(dc.Behind) - maxBehindListed; more > 0 {
 		text += fmt.Sprintf(" and %d more", more)
 	}
 	return text
 }
 
-func (m ModelVersions) askedText() string {
+func (m ModelVersions) requiredText() string {
 	if m.MinVersion == 0 {
 		return "no open submission"
 	}
--- a/internal/snapshot/versions_test.go
+++ b/internal/snapshot/versions_test.go
@@ -11,9 +11,10 @@
 	"github.com/zinnialadder/zinnialadder/pkg/upstream"
 )
 
-// In the middle of a storm of configurations an operator sees which data centre
-// serves which, who is behind and who says nothing any more, and which engines are too
-// old for the step that is asked.
+// With several configuration versions in force at once, the versions list for each
+// data centre the instances that are behind and the number of stale ones. Engines too
+// old for an open submission are counted; draining engines and submissions that have
+// ended are left out.
 func TestServedVersions(t *testing.T) {
 	now := time.Date(2026, 12, 3, 10, 0, 0, 0, time.UTC)
 	in := func(name, dc string, configuration uint64, renewed time.Duration) snapshot.Instance {
@@ -32,12 +33,12 @@
 		{DataCentre: "hall-a", Instances: 2, Stale: 1, InForce: []snapshot.VersionCount{{Version: 14, Count: 1}, {Version: 12, Count: 1}}, Behind: []string{"a2"}, OldestRenewal: now.Add(-3 * time.Second)},
 		{DataCentre: "hall-b", Instances: 1, InForce: []snapshot.VersionCount{{Version: 14, Count: 1}}, OldestRenewal: now},
 	}); got != want {
-		t.Errorf("data centres %s, want %s", got, want)
+		t.Errorf("DataCentres = %s, want %s", got, want)
 	}
 	if got, want := fmt.Sprint(v.Models), fmt.Sprint([]snapshot.ModelVersions{{Model: "m", TargetVersion: 7, MinVersion: 6, DataCentres: []snapshot.EngineVersions{
 		{DataCentre: "hall-a", Counts: []snapshot.VersionCount{{Version: 7, Count: 1}, {Version: 5, Count: 1}}, TooOld: 1},
 		{DataCentre: "hall-b", Counts: []snapshot.VersionCount{{Version: 6, Count: 1}}}}}}); got != want {
-		t.Errorf("models %s, want %s", got, want)
+		t.Errorf("Models = %s, want %s", got, want)
 	}
 	var text strings.Builder
 	if err := v.Write(&text); err != nil {
