--- a/internal/loadsim/loadsim.go
+++ b/internal/loadsim/loadsim.go
@@ -1,7 +1,8 @@
-// Package loadsim replays loads against the decisions of package forward and
-// package upstream in simulated time: which upstream a request is sent to, what
-// is turned away and when its caller comes back. Seconds of traffic take
-// milliseconds, so that policies are compared over many seeds.
+// Package loadsim simulates load on the decisions of packages forward, upstream and
+// submission: which upstream a request is sent to, which requests are rejected, when
+// their callers retry, and in which order the items of a step are generated. Seconds
+// of traffic are simulated in milliseconds, so that policies can be compared over
+// many seeds.
 package loadsim
 
 import (
@@ -12,40 +13,40 @@
 	"github.com/zinnialadder/zinnialadder/pkg/routetable"
 )
 
-// Load is a load and the site that it meets.
+// Load describes the load of callers and the site that serves it.
 type Load struct {
 	Instances        int
 	Upstreams        int
-	Slots            int           // requests that an upstream serves at once
-	QueueLimit       int           // requests that wait at an upstream before it turns others away
-	ServiceTime      time.Duration // mean time of a request at an upstream, exponentially distributed
+	Slots            int           // requests that an upstream runs at once
+	QueueLimit       int           // requests that an upstream queues; it refuses further ones
+	ServiceTime      time.Duration // mean service time of a request, exponentially distributed
 	LatencyObjective time.Duration
-	Timeout          time.Duration // callers wait so long
-	MaxAttempts      int           // of a caller, the first included
+	Timeout          time.Duration // time that a caller waits for its answer
+	MaxAttempts      int           // attempts of a caller, including the first
 
-	Rate            float64       // requests offered, in parts of what the upstreams can serve
-	BurstRate       float64       // Rate from BurstAt on for BurstTime
+	Rate            float64       // offered requests as a fraction of the capacity
+	BurstRate       float64       // Rate during a burst; 0 for no burst
 	BurstStart      time.Duration // after the start
 	BurstDuration   time.Duration
-	OutageUpstreams int           // upstreams that take no connection from LostAt on for LostTime
+	OutageUpstreams int           // upstreams that accept no connection during the outage
 	OutageStart     time.Duration // after the start
 	OutageDuration  time.Duration
-	SlowUpstreams   int // upstreams whose work takes SlowFactor times as long
+	SlowUpstreams   int // upstreams whose requests take SlowFactor times as long
 	SlowFactor      float64
-	Duration        time.Duration // callers' first attempts stop after it; longer than Timeout
+	Duration        time.Duration // callers arrive until then; longer than Timeout
 	Seed            uint64
 }
 
-// Minho is the load of a plain service of the brief's smaller deployment.
+// Minho is the load of a plain service in the deployment of that name.
 var Minho = Load{Instances: 10, Upstreams: 3, Slots: 6, QueueLimit: 3, ServiceTime: 40 * time.Millisecond,
 	LatencyObjective: 150 * time.Millisecond, Timeout: 2 * time.Second, MaxAttempts: 4, Rate: 0.7, Duration: 10 * time.Second, Seed: 1}
 
-// capacity is how many requests a second the upstreams serve at the most.
+// capacity returns the requests per second that the upstreams can serve.
 func (l Load) capacity() float64 {
 	return float64(l.Upstreams*l.Slots) / l.ServiceTime.Seconds()
 }
 
-// rate returns the requests offered a second at a time after the start.
+// rate returns the offered requests per second at a time after the start.
 func (l Load) rate(after time.Duration) float64 {
 	if l.BurstRate > 0 && after >= l.BurstStart && after < l.BurstStart+l.BurstDuration {
 		return l.BurstRate * l.capacity()
@@ -53,54 +54,59 @@
 	return l.Rate * l.capacity()
 }
 
-// Policy is a way to turn requests away.
+// Policy is a way to treat requests that find no free slot.
 type Policy struct {
 	Name string
-	// RetryAt returns when the caller of a rejected request comes back.
+	// RetryAt returns when the caller of a rejected request retries. The caller waits until
+	// deadline; draw is a random number in [0, 1).
 	RetryAt func(r *forward.RetryScheduler, now, deadline time.Time, draw float64) time.Time
-	// WaitForSlot has requests that find no room wait for it until their deadline.
+	// WaitForSlot has requests wait for a free slot until their deadline.
 	WaitForSlot bool
 }
 
-// constantReturn is the pause of the Constant policy.
-const constantReturn = 300 * time.Millisecond
+// constantBackoff is the backoff of ConstantBackoff.
+const constantBackoff = 300 * time.Millisecond
 
-// The policies: the product's, an earlier version of it, and the plain way.
+// The policies: the one in use, an earlier version of it, and a baseline without
+// early rejection.
 var (
 	SpreadRetries = Policy{Name: "spread", RetryAt: func(r *forward.RetryScheduler, now, deadline time.Time, draw float64) time.Time {
 		return r.Reject(pool, now, deadline, draw)
 	}}
 	ConstantBackoff = Policy{Name: "constant", RetryAt: func(_ *forward.RetryScheduler, now, _ time.Time, _ float64) time.Time {
-		return now.Add(constantReturn)
+		return now.Add(constantBackoff)
 	}}
 	WaitAtInstance = Policy{Name: "hold", WaitForSlot: true, RetryAt: ConstantBackoff.RetryAt}
 	Policies       = []Policy{SpreadRetries, ConstantBackoff, WaitAtInstance}
 )
 
-// Result is what callers saw.
+// Result is the outcome of a load under a policy.
 type Result struct {
-	Policy          string
-	Rate            float64 // offered, in parts of the capacity
-	Goodput         float64 // requests answered in their time, in parts of the capacity, once returning callers are among them
-	WithinObjective float64 // share of the requests offered that were answered within the objective
-	Answered        float64 // share answered within the caller's time
+	Policy string
+	Rate   float64 // offered requests as a fraction of the capacity
+	// Goodput is the rate of requests answered within the caller's timeout, as a fraction
+	// of the capacity. It is measured from the load's Timeout to its Duration, when
+	// retries are part of the load.
+	Goodput         float64
+	WithinObjective float64 // share of offered requests answered within the latency objective
+	Answered        float64 // share of offered requests answered within the caller's timeout
 	P50, P99        time.Duration
-	Attempts        float64       // at upstreams, for each request offered
-	WorstSecond     float64       // least share answered of the requests that came in one second
-	MaxWait         time.Duration // longest time that an attempt was held and then turned away untried
+	Attempts        float64       // attempts at upstreams per offered request
+	WorstSecond     float64       // lowest share answered of the requests that arrived in one second
+	MaxWait         time.Duration // longest wait of an attempt that was rejected without being sent
 }
 
-// Run plays load under policy.
+// Run simulates load under policy p.
 func Run(load Load, p Policy) Result {
 	s := newSite(load, p)
 	s.arrive(s.start)
-	s.play()
+	s.runEvents()
 	return s.meter.result(load, p)
 }
 
 const pool = "pool"
 
-// route is the route of all requests.
+// route returns the route of all requests.
 func (l Load) route() routetable.Route {
 	return routetable.Route{Name: "load", Kind: routetable.Idempotent, Timeout: l.Timeout, LatencyObjective: l.LatencyObjective, MaxAttempts: 2,
 		Shares: []routetable.Share{{Pool: pool, Weight: 1}}}
--- a/internal/loadsim/loadsim_test.go
+++ b/internal/loadsim/loadsim_test.go
@@ -10,66 +10,65 @@
 
 const seeds = 5
 
-// mean plays load with some seeds and returns the means of what came out.
+// mean simulates load with some seeds and returns the means of the results.
 func mean(load loadsim.Load, p loadsim.Policy) loadsim.Result {
 	return loadsim.Sweep(load, []loadsim.Policy{p}, []float64{load.Rate}, seeds)[0]
 }
 
-// Up to four times what the upstreams can serve, as many requests are answered
-// as at the knee; an upstream is asked at most twice for each. Requests that are
-// held until there is room cost the upstreams what they could serve, which shows
-// that the load can tell.
-func TestGoodputIsFlatPastTheKnee(t *testing.T) {
+// Goodput at up to four times the capacity is that at the capacity, with at most two
+// attempts at upstreams per request. The policy that has requests wait at the instance
+// loses goodput, which shows that the load is high enough to tell policies apart.
+func TestGoodputIsFlatAboveCapacity(t *testing.T) {
 	load := loadsim.Minho
 	load.Duration = 6 * time.Second
 	at := func(rate float64, p loadsim.Policy) loadsim.Result {
 		load.Rate = rate
 		return mean(load, p)
 	}
-	knee := at(1, loadsim.SpreadRetries)
-	if knee.Goodput < 0.9 {
-		t.Fatalf("goodput %.3f at the capacity", knee.Goodput)
+	atCapacity := at(1, loadsim.SpreadRetries)
+	if atCapacity.Goodput < 0.9 {
+		t.Fatalf("goodput %.3f at the capacity, want at least 0.9", atCapacity.Goodput)
 	}
 	for _, rate := range []float64{1.5, 2, 3, 4} {
 		r := at(rate, loadsim.SpreadRetries)
-		if r.Goodput < 0.97*knee.Goodput || r.Attempts > 2 {
-			t.Errorf("goodput %.3f with %.2f attempts each at %.1f times the capacity, %.3f at the knee", r.Goodput, r.Attempts, rate, knee.Goodput)
+		if r.Goodput < 0.97*atCapacity.Goodput || r.Attempts > 2 {
+			t.Errorf("goodput %.3f with %.2f attempts each at %.1f times the capacity, want 0.97 of %.3f with at most 2", r.Goodput, r.Attempts, rate, atCapacity.Goodput)
 		}
 	}
-	if held := at(4, loadsim.WaitAtInstance); held.Goodput > 0.9*knee.Goodput {
-		t.Errorf("goodput %.3f when requests are held: the load does not press", held.Goodput)
+	if waiting := at(4, loadsim.WaitAtInstance); waiting.Goodput > 0.9*atCapacity.Goodput {
+		t.Errorf("goodput %.3f when requests wait at the instance, want a loss: the load is too low", waiting.Goodput)
 	}
 }
 
-// Nothing that is turned away untried has been held for longer than a quarter of
-// its objective.
+// A request that is rejected without an attempt has waited for at most a quarter of
+// its latency objective.
 func TestRejectsEarly(t *testing.T) {
 	load := loadsim.Minho
 	load.Rate, load.Duration = 3, 3*time.Second
 	for _, objective := range []time.Duration{20 * time.Millisecond, 150 * time.Millisecond, time.Second} {
 		load.LatencyObjective = objective
 		if r := loadsim.Run(load, loadsim.SpreadRetries); r.MaxWait > objective/4 {
-			t.Errorf("held %v of an objective of %v", r.MaxWait, objective)
+			t.Errorf("waited %v before rejection with an objective of %v, want at most a quarter", r.MaxWait, objective)
 		}
 	}
 }
 
-// After a burst of six times the capacity for 0.3 s, more callers are answered
-// when their returns are spread than when all pause for the same time.
-func TestSpreadReturnsServeABurst(t *testing.T) {
+// After a burst of six times the capacity for 0.3 s, more callers are answered when
+// their retries are spread over time than when all back off for the same time.
+func TestSpreadRetriesAfterBurst(t *testing.T) {
 	load := loadsim.Minho
 	load.Duration = 4 * time.Second
 	load.BurstRate, load.BurstStart, load.BurstDuration = 6, time.Second, 300*time.Millisecond
 	spread, constant := mean(load, loadsim.SpreadRetries), mean(load, loadsim.ConstantBackoff)
-	t.Logf("answered %.3f with spread returns, %.3f with constant ones", spread.Answered, constant.Answered)
+	t.Logf("answered %.3f with spread retries, %.3f with a constant backoff", spread.Answered, constant.Answered)
 	if spread.Answered < constant.Answered+0.01 {
-		t.Errorf("answered %.3f with spread returns, %.3f with constant ones", spread.Answered, constant.Answered)
+		t.Errorf("answered %.3f with spread retries, %.3f with a constant backoff, want a gain of 0.01", spread.Answered, constant.Answered)
 	}
 }
 
-// A step with three times as many items as places at engines is whole sooner when
-// the texts that are expected to be long begin first, though estimates are off by
-// a half as often as not.
+// The desired groups of a step with about three times as many items as slots complete
+// sooner when texts with long length hints start first. The hints' errors have a
+// standard deviation of 0.5 of the logarithm.
 func TestLongestFirstShortensAStep(t *testing.T) {
 	const steps = 200
 	sums := map[string]time.Duration{}
@@ -81,35 +80,35 @@
 		}
 	}
 	first, listed := sums[loadsim.LongestFirst.Name], sums[loadsim.AsListed.Name]
-	t.Logf("the groups waited for are whole after %v, %v as listed", first, listed)
+	t.Logf("desired groups complete after %v, %v as listed", first, listed)
 	if first > listed*9/10 {
-		t.Errorf("the groups waited for are whole after %v, %v as listed", first, listed)
+		t.Errorf("desired groups complete after %v, %v as listed, want at most 0.9 of it", first, listed)
 	}
 }
 
-// A step with one engine of three that is four times as slow is whole sooner when
-// texts go on at engines that are faster and have room than when they stay.
-func TestTextsLeaveASlowEngine(t *testing.T) {
+// The desired groups of a step with one engine of three that is four times as slow
+// complete sooner when texts move to faster engines with free slots.
+func TestTextsMoveFromSlowEngine(t *testing.T) {
 	const steps = 100
-	var moving, staying time.Duration
+	var moving, unmoved time.Duration
 	for seed := range uint64(steps) {
 		load := loadsim.CallSummary
 		load.Seed, load.SlowEngines, load.SlowFactor = seed, 1, 4
 		moving += loadsim.RunStep(load, loadsim.LongestFirst).DesiredTime / steps
-		staying += loadsim.RunStep(load, loadsim.WithoutMoves).DesiredTime / steps
+		unmoved += loadsim.RunStep(load, loadsim.WithoutMoves).DesiredTime / steps
 	}
-	t.Logf("the groups waited for are whole after %v, %v when texts stay", moving, staying)
-	if moving > staying*8/10 {
-		t.Errorf("the groups waited for are whole after %v, %v when texts stay", moving, staying)
+	t.Logf("desired groups complete after %v, %v without moves", moving, unmoved)
+	if moving > unmoved*8/10 {
+		t.Errorf("desired groups complete after %v, %v without moves, want at most 0.8 of it", moving, unmoved)
 	}
 }
 
-// A step at three engines two of which are slow: a text that leaves a slow engine
-// goes to the other one, not back to a slow one in the next moment, and the step is
-// whole sooner than when texts stay.
-func TestTextsDoNotReturnToASlowEngine(t *testing.T) {
+// With two slow engines of three, texts move to the fast engine and not back and forth
+// between the slow ones: there is at most half a move per item, and the desired groups
+// complete sooner than without moves.
+func TestTextsDoNotMoveBackToSlowEngine(t *testing.T) {
 	const steps = 50
-	var moving, staying time.Duration
+	var moving, unmoved time.Duration
 	moves, items := 0, 0
 	for seed := range uint64(steps) {
 		load := loadsim.CallSummary
@@ -117,54 +116,55 @@
 		r := loadsim.RunStep(load, loadsim.LongestFirst)
 		moves += r.Moves
 		moving += r.DesiredTime / steps
-		staying += loadsim.RunStep(load, loadsim.WithoutMoves).DesiredTime / steps
+		unmoved += loadsim.RunStep(load, loadsim.WithoutMoves).DesiredTime / steps
 		items += load.Groups * load.GroupSize
 	}
-	t.Logf("%.2f moves an item; the groups waited for are whole after %v, %v when texts stay", float64(moves)/float64(items), moving, staying)
-	if moves > items/2 || moving > staying*8/10 {
-		t.Errorf("%d moves of %d items; whole after %v, %v when texts stay", moves, items, moving, staying)
+	t.Logf("%.2f moves an item; desired groups complete after %v, %v without moves", float64(moves)/float64(items), moving, unmoved)
+	if moves > items/2 || moving > unmoved*8/10 {
+		t.Errorf("%d moves of %d items, want at most half; desired groups complete after %v, %v without moves, want at most 0.8 of it", moves, items, moving, unmoved)
 	}
 }
 
-// Half of the upstreams are lost at once while they are needed, and come back
-// after two seconds: what the others can serve is served meanwhile, and all of it
-// again in the second after they are back.
-func TestHalfOfTheUpstreamsLost(t *testing.T) {
+// During an outage of half of the upstreams for two seconds, with a load of nine tenths
+// of what the others can serve, and in the seconds after it, nearly all requests are
+// answered.
+func TestOutageOfHalfOfTheUpstreams(t *testing.T) {
 	load := loadsim.Minho
 	load.Upstreams, load.Rate, load.Duration = 4, 0.45, 8*time.Second
 	load.OutageUpstreams, load.OutageStart, load.OutageDuration = 2, 2*time.Second, 2*time.Second
 	r := mean(load, loadsim.SpreadRetries)
 	if r.Answered < 0.99 || r.WorstSecond < 0.95 || r.WithinObjective < 0.93 {
-		t.Errorf("answered %.3f, in the worst second %.3f, in time %.3f, with nine tenths of what is left asked", r.Answered, r.WorstSecond, r.WithinObjective)
+		t.Errorf("answered %.3f, in the worst second %.3f, within the objective %.3f, want at least 0.99, 0.95, 0.93", r.Answered, r.WorstSecond, r.WithinObjective)
 	}
 }
 
-// All upstreams are lost for a second and come back at once: callers that were
-// turned away meanwhile are served after it, and do not overrun them.
-func TestAllBackAtOnce(t *testing.T) {
+// After an outage of all upstreams for a second, the callers that were rejected in it
+// are served when the upstreams are back, without a surge that overloads them.
+func TestOutageOfAllUpstreams(t *testing.T) {
 	load := loadsim.Minho
 	load.Rate, load.Duration = 0.6, 8*time.Second
 	load.OutageUpstreams, load.OutageStart, load.OutageDuration = load.Upstreams, 3*time.Second, time.Second
 	spread, constant := mean(load, loadsim.SpreadRetries), mean(load, loadsim.ConstantBackoff)
-	t.Logf("worst second %.3f, %.3f with constant returns", spread.WorstSecond, constant.WorstSecond)
+	t.Logf("worst second %.3f, %.3f with a constant backoff", spread.WorstSecond, constant.WorstSecond)
 	if spread.WorstSecond < constant.WorstSecond || spread.WorstSecond < 0.6 {
-		t.Errorf("worst second %.3f, %.3f with constant returns", spread.WorstSecond, constant.WorstSecond)
+		t.Errorf("worst second %.3f, %.3f with a constant backoff, want at least that and 0.6", spread.WorstSecond, constant.WorstSecond)
 	}
 }
 
-// One upstream of three that takes five times as long costs few callers their
-// answer in time, where a third would have it from that one.
+// With one upstream of three that is five times as slow, at least nine tenths of the
+// callers are answered within the objective, though an even split would send a third
+// of them to the slow one.
 func TestOneSlowUpstream(t *testing.T) {
 	load := loadsim.Minho
 	load.Rate, load.Duration, load.SlowUpstreams, load.SlowFactor = 0.4, 6*time.Second, 1, 5
 	if r := mean(load, loadsim.SpreadRetries); r.WithinObjective < 0.9 || r.Answered < 0.99 {
-		t.Errorf("in time %.3f, answered %.3f", r.WithinObjective, r.Answered)
+		t.Errorf("within the objective %.3f, answered %.3f, want at least 0.9, 0.99", r.WithinObjective, r.Answered)
 	}
 }
 
-// Two trainers, one with three times the work of the other, share nine engines:
-// dealt by their work, the slower of their steps is whole sooner than when each has
-// half.
+// Two trainers, one with three times the work of the other, share nine engines. The
+// slower of their steps completes sooner with engines assigned in proportion to work
+// than with about half of the engines each.
 func TestTrainersOfUnequalSize(t *testing.T) {
 	small, large := loadsim.CallSummary, loadsim.CallSummary
 	small.GroupSize = 8
@@ -173,7 +173,7 @@
 	for i := range 9 {
 		ids = append(ids, string(rune('a'+i)))
 	}
-	parts := weights.AssignEngines(ids, []weights.Demand{{Model: "small", Work: 1}, {Model: "large", Work: 3}})
+	assigned := weights.AssignEngines(ids, []weights.Demand{{Model: "small", Work: 1}, {Model: "large", Work: 3}})
 	slower := func(ofSmall, ofLarge int) time.Duration {
 		const steps = 100
 		var a, b time.Duration
@@ -183,11 +183,11 @@
 			a += loadsim.RunStep(small, loadsim.LongestFirst).DesiredTime / steps
 			b += loadsim.RunStep(large, loadsim.LongestFirst).DesiredTime / steps
 		}
-		t.Logf("%d and %d engines: whole after %v and %v", ofSmall, ofLarge, a, b)
+		t.Logf("%d and %d engines: complete after %v and %v", ofSmall, ofLarge, a, b)
 		return max(a, b)
 	}
-	dealt, half := slower(len(parts["small"]), len(parts["large"])), slower(4, 5)
-	if dealt > half*95/100 {
-		t.Errorf("the slower trainer's step is whole after %v, %v with about half of the engines", dealt, half)
+	byWork, half := slower(len(assigned["small"]), len(assigned["large"])), slower(4, 5)
+	if byWork > half*95/100 {
+		t.Errorf("the slower trainer's step is complete after %v, %v with about half of the engines, want at most 0.95 of it", byWork, half)
 	}
 }
--- a/internal/loadsim/meter.go
+++ b/internal/loadsim/meter.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// meter counts what callers and upstreams see.
+// meter counts the requests of callers and their attempts at upstreams.
 type meter struct {
 	offered  int
-	came     map[int]int     // requests, by the second in which they came
-	served   map[int]int     // of them answered
-	attempts int             // at upstreams
-	steady   int             // answers while the load stood, from its Timeout to its Time
-	answered []time.Duration // from a caller's first attempt to its answer
-	held     []time.Duration // of attempts that were rejected without being sent on
+	arrived  map[int]int     // requests by the second in which they arrived
+	served   map[int]int     // answered ones of them
+	attempts int             // attempts at upstreams
+	steady   int             // answers that count for Result.Goodput
+	answered []time.Duration // times from a caller's first attempt to its answer
+	waits    []time.Duration // waits of attempts that were rejected without being sent
 }
 
+// result returns the outcome of the requests counted. It sorts m.answered.
 func (m *meter) result(load Load, p Policy) Result {
-	r := Result{Policy: p.Name, Rate: load.Rate, MaxWait: most(m.held),
+	r := Result{Policy: p.Name, Rate: load.Rate, MaxWait: longest(m.waits),
 		Goodput: float64(m.steady) / (load.Duration - load.Timeout).Seconds() / load.capacity()}
 	if m.offered > 0 {
 		offered := float64(m.offered)
@@ -32,7 +33,7 @@
 		r.WithinObjective = float64(inTime) / offered
 	}
 	r.WorstSecond = 1
-	for second, n := range m.came {
+	for second, n := range m.arrived {
 		r.WorstSecond = min(r.WorstSecond, float64(m.served[second])/float64(n))
 	}
 	slices.Sort(m.answered)
@@ -40,29 +41,29 @@
 	return r
 }
 
-// offer counts a request that came at a time after the start.
+// offer counts a request that arrived at a time after the start.
 func (m *meter) offer(after time.Duration) {
-	if m.came == nil {
-		m.came, m.served = map[int]int{}, map[int]int{}
+	if m.arrived == nil {
+		m.arrived, m.served = map[int]int{}, map[int]int{}
 	}
 	m.offered++
-	m.came[int(after/time.Second)]++
+	m.arrived[int(after/time.Second)]++
 }
 
-// answer counts an answer at a time after the start, how long it took, and when
-// its request came.
-func (m *meter) answer(load Load, after, took, came time.Duration) {
+// answer counts an answer at a time after the start. took is the time from the
+// caller's first attempt, and arrivedAt is the request's arrival after the start.
+func (m *meter) answer(load Load, after, took, arrivedAt time.Duration) {
 	m.answered = append(m.answered, took)
-	m.served[int(came/time.Second)]++
+	m.served[int(arrivedAt/time.Second)]++
 	if after >= load.Timeout && after < load.Duration {
 		m.steady++
 	}
 }
 
-// most returns the longest of ds, 0 of none.
-func most(ds []time.Duration) time.Duration { return slices.Max(append(ds, 0)) }
+// longest returns the longest of ds, or 0 if there is none.
+func longest(ds []time.Duration) time.Duration { return slices.Max(append(ds, 0)) }
 
-// quantile returns the q-quantile of sorted times, 0 of none.
+// quantile returns the q-quantile of sorted times, or 0 if there is none.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/loadsim/report.go
+++ b/internal/loadsim/report.go
@@ -10,8 +10,8 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// Mean returns the means of results that differ in their seeds only; Held is the
-// longest of them.
+// Mean returns the means of results that differ only in their seeds. Its MaxWait is the
+// longest one.
 func Mean(results []Result) Result {
 	if len(results) == 0 {
 		return Result{}
@@ -31,21 +31,21 @@
 	return out
 }
 
-// Sweep plays load at each of rates, in parts of the capacity, under each of
-// policies with seeds many seeds, and returns the means.
+// Sweep simulates load at each of rates, as fractions of the capacity, under each of
+// policies with the seeds from 0 to seeds-1. It returns the means over the seeds.
 func Sweep(load Load, policies []Policy, rates []float64, seeds int) []Result {
 	var out []Result
 	for _, p := range policies {
 		for _, rate := range rates {
 			load.Rate = rate
-			out = append(out, Mean(play(load, p, seeds)))
+			out = append(out, Mean(runSeeds(load, p, seeds)))
 		}
 	}
 	return out
 }
 
-// play plays load under p with seeds many seeds.
-func play(load Load, p Policy, seeds int) []Result {
+// runSeeds simulates load under p with the seeds from 0 to seeds-1.
+func runSeeds(load Load, p Policy, seeds int) []Result {
 	var out []Result
 	for seed := range uint64(seeds) {
 		load.Seed = seed
@@ -54,7 +54,7 @@
 	return out
 }
 
-// WriteTable writes results as a table.
+// WriteTable writes results as a table. An error is one of w.
 func WriteTable(w io.Writer, results []Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "policy\toffered\tgoodput\tanswered\tin objective\tp50\tp99\tattempts\theld untried\t")
@@ -65,7 +65,7 @@
 	return t.Flush()
 }
 
-// WriteChart draws goodput against the load offered, a line for each policy, as SVG.
+// WriteChart draws goodput against the offered load as SVG, a line for each policy.
 func WriteChart(w io.Writer, results []Result) error {
 	lines := map[string]*chart.ContinuousSeries{}
 	var series []chart.Series
@@ -85,32 +85,33 @@
 	return c.Render(chart.SVG, w)
 }
 
-// StepSummary is a step load under a policy, played with many seeds.
+// StepSummary is the outcome of a step load under a policy over many seeds.
 type StepSummary struct {
 	Policy      string
 	Engines     int
-	SlowEngines int           // engines that are slow
-	DesiredTime time.Duration // mean time until the groups waited for were whole
-	DesiredP90  time.Duration // its 90th percentile
-	AllTime     time.Duration // mean time until all were
+	SlowEngines int           // number of slow engines
+	DesiredTime time.Duration // mean time until the groups that the trainer waits for were complete
+	DesiredP90  time.Duration // 90th percentile of that time
+	AllTime     time.Duration // mean time until all groups were complete
 }
 
-// SweepSteps plays load with each number of engines, without and with a slow one,
-// under each policy with seeds many seeds.
+// SweepSteps simulates load with each number of engines, without and with an engine
+// that is slowFactor times as slow, under each policy with the seeds from 0 to seeds-1.
 func SweepSteps(load StepLoad, policies []StepPolicy, engines []int, slowFactor float64, seeds int) []StepSummary {
 	var out []StepSummary
 	load.SlowFactor = slowFactor
 	for _, load.SlowEngines = range []int{0, 1} {
 		for _, load.Engines = range engines {
 			for _, p := range policies {
-				out = append(out, playSteps(load, p, seeds))
+				out = append(out, runStepSeeds(load, p, seeds))
 			}
 		}
 	}
 	return out
 }
 
-func playSteps(load StepLoad, p StepPolicy, seeds int) StepSummary {
+// runStepSeeds simulates load under p with the seeds from 0 to seeds-1.
+func runStepSeeds(load StepLoad, p StepPolicy, seeds int) StepSummary {
 	out := StepSummary{Policy: p.Name, Engines: load.Engines, SlowEngines: load.SlowEngines}
 	var desired []time.Duration
 	for seed := range uint64(seeds) {
@@ -125,7 +126,7 @@
 	return out
 }
 
-// WriteSteps writes swept steps as a table.
+// WriteSteps writes steps as a table. An error is one of w.
 func WriteSteps(w io.Writer, steps []StepSummary) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "engines\tslow\tpolicy\tdesired\tdesired p90\tall\t")
--- a/internal/loadsim/server.go
+++ b/internal/loadsim/server.go
@@ -7,69 +7,72 @@
 	"github.com/zinnialadder/zinnialadder/pkg/upstream"
 )
 
-// errTimeout ends an attempt that got no answer in its time.
-var errTimeout = errors.New("loadsim: no answer in time")
+// errTimeout is the error of an attempt without an answer by its deadline.
+var errTimeout = errors.New("loadsim: no answer by the deadline of the attempt")
 
-// job is an attempt at an upstream. answer is called once, unless the job is
-// still worked on when nobody waits any more.
+// job is an attempt at an upstream. answer is called once: when the request has run,
+// or when it is refused or dropped from the queue, with ran false.
 type job struct {
-	until  time.Time // nobody waits after it
+	until  time.Time // deadline of the attempt; a queued job is dropped after it
 	answer func(now time.Time, load upstream.Load, ran bool)
 }
 
-// server is an upstream: it serves some requests at once, lets some wait, and
-// turns the rest away.
+// server is an upstream: it runs requests in its slots, queues some, and refuses the
+// rest.
 type server struct {
-	site    *site
-	lost    bool // takes no connection for the time that the load tells
-	slow    bool
-	running int
-	waiting []*job
-	owed    time.Duration // that attempts have cost and no job has paid yet
+	site        *site
+	hasOutage   bool // accepts no connection during the load's outage
+	slow        bool
+	running     int
+	queued      []*job
+	pendingCost time.Duration // cost of attempts, to be added to the next job's time
 }
 
-// away reports whether the upstream takes no connection at now.
-func (u *server) away(now time.Time) bool {
+// unreachable reports whether the upstream accepts no connection at now.
+func (u *server) unreachable(now time.Time) bool {
 	l, after := u.site.load, now.Sub(u.site.start)
-	return u.lost && after >= l.OutageStart && after < l.OutageStart+l.OutageDuration
+	return u.hasOutage && after >= l.OutageStart && after < l.OutageStart+l.OutageDuration
 }
 
+// load returns the load that the upstream reports with an answer.
 func (u *server) load() upstream.Load {
-	return upstream.Load{Running: u.running, Queued: len(u.waiting), Slots: u.site.load.Slots}
+	return upstream.Load{Running: u.running, Queued: len(u.queued), Slots: u.site.load.Slots}
 }
 
-// take takes an attempt that arrives at now.
-func (u *server) take(now time.Time, j *job) {
-	u.owed += attemptCost
+// accept runs, queues or refuses an attempt that arrives at now.
+func (u *server) accept(now time.Time, j *job) {
+	u.pendingCost += attemptCost
 	switch l := u.site.load; {
 	case u.running < l.Slots:
 		u.run(now, j)
-	case len(u.waiting) < l.QueueLimit:
-		u.waiting = append(u.waiting, j)
+	case len(u.queued) < l.QueueLimit:
+		u.queued = append(u.queued, j)
 	default:
 		j.answer(now, u.load(), false)
 	}
 }
 
+// run runs j in a free slot.
 func (u *server) run(now time.Time, j *job) {
 	u.running++
-	work := time.Duration(u.site.rand.ExpFloat64()*float64(u.site.load.ServiceTime)) + u.owed
+	work := time.Duration(u.site.rand.ExpFloat64()*float64(u.site.load.ServiceTime)) + u.pendingCost
 	if u.slow {
 		work = time.Duration(u.site.load.SlowFactor * float64(work))
 	}
-	u.owed = 0
-	u.site.at(now.Add(work), func(now time.Time) {
+	u.pendingCost = 0
+	u.site.schedule(now.Add(work), func(now time.Time) {
 		u.running--
 		j.answer(now, u.load(), true)
 		u.next(now)
 	})
 }
 
-// next runs the first of the waiting jobs that somebody still waits for.
+// next runs the first queued job whose deadline has not passed, and drops those
+// before it.
 func (u *server) next(now time.Time) {
-	for len(u.waiting) > 0 {
-		j := u.waiting[0]
-		u.waiting = u.waiting[1:]
+	for len(u.queued) > 0 {
+		j := u.queued[0]
+		u.queued = u.queued[1:]
 		if now.Before(j.until) {
 			u.run(now, j)
 			return
--- a/internal/loadsim/site.go
+++ b/internal/loadsim/site.go
@@ -11,18 +11,20 @@
 )
 
 const (
-	// linkDelay is the way from an instance to an upstream, or back.
+	// linkDelay is the one-way network delay between an instance and an upstream.
 	linkDelay = 500 * time.Microsecond
-	// attemptCost is what an attempt costs an upstream beside its work, also one
-	// that it turns away: a new connection.
+	// attemptCost is the time that each attempt costs an upstream besides the
+	// request's own, also one that it refuses: that of a new connection.
 	attemptCost = time.Millisecond
-	// retryPause is a caller's own pause before it tries again after an error.
-	retryPause = 50 * time.Millisecond
-	// holdStep is how often a request that is held looks for room.
-	holdStep = 15 * time.Millisecond
+	// retryBackoff is a caller's backoff after a timeout, for which there is no
+	// retry time from the instance.
+	retryBackoff = 50 * time.Millisecond
+	// slotPollInterval is the period in which a waiting request checks for a free
+	// slot.
+	slotPollInterval = 15 * time.Millisecond
 )
 
-// site is callers, instances and upstreams in simulated time.
+// site simulates callers, instances and upstreams.
 type site struct {
 	timeline
 	load      Load
@@ -34,20 +36,21 @@
 	meter     meter
 }
 
-// instance is one instance of the system.
+// instance is a simulated instance.
 type instance struct {
 	registry *upstream.Registry
-	returns  forward.RetryScheduler
+	retries  forward.RetryScheduler
 	name     string
 }
 
+// newSite returns a site at its start, without events.
 func newSite(load Load, p Policy) *site {
 	s := &site{load: load, policy: p, start: time.Unix(1_800_000_000, 0), rand: newRand(load.Seed), upstreams: map[string]*server{}}
 	var entries []upstream.Entry
 	for i := range load.Upstreams {
 		id := fmt.Sprintf("i-%02d", i)
 		entries = append(entries, upstream.Entry{ID: id, Pool: pool, Address: id, Slots: load.Slots})
-		s.upstreams[id] = &server{site: s, lost: i < load.OutageUpstreams, slow: i >= load.Upstreams-load.SlowUpstreams}
+		s.upstreams[id] = &server{site: s, hasOutage: i < load.OutageUpstreams, slow: i >= load.Upstreams-load.SlowUpstreams}
 	}
 	for i := range load.Instances {
 		in := &instance{registry: upstream.NewRegistry(""), name: fmt.Sprintf("n%d", i)}
@@ -57,99 +60,99 @@
 	return s
 }
 
-// arrive has a caller begin at now, and the next one after it.
+// arrive starts a caller at now and schedules the arrival of the next one.
 func (s *site) arrive(now time.Time) {
 	after := now.Sub(s.start)
 	if after >= s.load.Duration {
 		return
 	}
-	c := &caller{site: s, begun: now, deadline: now.Add(s.load.Timeout)}
+	c := &caller{site: s, startedAt: now, deadline: now.Add(s.load.Timeout)}
 	s.meter.offer(after)
 	c.try(now)
 	gap := s.rand.ExpFloat64() / s.load.rate(after)
-	s.at(now.Add(time.Duration(gap*float64(time.Second))), s.arrive)
+	s.schedule(now.Add(time.Duration(gap*float64(time.Second))), s.arrive)
 }
 
-// caller is one request of a caller, over all its attempts.
+// caller is one request of a caller with all its attempts.
 type caller struct {
-	site     *site
-	begun    time.Time
-	deadline time.Time
-	attempts int
+	site      *site
+	startedAt time.Time
+	deadline  time.Time
+	attempts  int
 }
 
-// try sends the request to an instance.
+// try sends the request to a random instance.
 func (c *caller) try(now time.Time) {
 	c.attempts++
 	in := c.site.instances[c.site.rand.IntN(len(c.site.instances))]
-	r := &request{caller: c, instance: in, begun: now, plan: forward.NewPlan(c.site.load.route(), now, c.deadline)}
+	r := &request{caller: c, instance: in, startedAt: now, plan: forward.NewPlan(c.site.load.route(), now, c.deadline)}
 	r.next(now)
 }
 
-// again has the caller come back at a time, if it has attempts and time left.
-// Callers wait for a third of the time that they have left at the most.
-func (c *caller) again(now, at time.Time) {
+// retry schedules the caller's next attempt at a time, unless it has no attempts or
+// no time left. Callers wait for at most a third of their remaining time.
+func (c *caller) retry(now, at time.Time) {
 	at = earlier(at, now.Add(c.deadline.Sub(now)/3))
 	if c.attempts >= c.site.load.MaxAttempts || !at.Before(c.deadline) {
 		return
 	}
-	c.site.at(at, c.try)
+	c.site.schedule(at, c.try)
 }
 
 // request is one attempt of a caller at an instance.
 type request struct {
-	caller   *caller
-	instance *instance
-	begun    time.Time
-	plan     *forward.Plan
+	caller    *caller
+	instance  *instance
+	startedAt time.Time
+	plan      *forward.Plan
 }
 
-// next decides what happens to the request at now.
+// next sends the request to an upstream, has it wait, or rejects it.
 func (r *request) next(now time.Time) {
 	s := r.caller.site
 	t, wait := r.plan.Next(r.instance.registry, upstream.Requirements{Pool: pool, Now: now, Affinity: r.instance.name})
-	if t == nil && wait == 0 && s.policy.WaitForSlot && now.Add(holdStep).Before(r.plan.Deadline) {
-		wait = holdStep
+	if t == nil && wait == 0 && s.policy.WaitForSlot && now.Add(slotPollInterval).Before(r.plan.Deadline) {
+		wait = slotPollInterval
 	}
 	switch {
 	case t != nil:
 		r.send(now, t)
 	case wait > 0:
-		s.at(now.Add(wait), r.next)
+		s.schedule(now.Add(wait), r.next)
 	default:
 		r.reject(now)
 	}
 }
 
-// reject turns the request away.
+// reject rejects the request; its caller retries as the policy says.
 func (r *request) reject(now time.Time) {
 	s := r.caller.site
 	if len(r.plan.Tried()) == 0 {
-		s.meter.held = append(s.meter.held, now.Sub(r.begun))
+		s.meter.waits = append(s.meter.waits, now.Sub(r.startedAt))
 	}
-	r.caller.again(now, s.policy.RetryAt(&r.instance.returns, now, r.plan.Deadline, s.rand.Float64()))
+	r.caller.retry(now, s.policy.RetryAt(&r.instance.retries, now, r.plan.Deadline, s.rand.Float64()))
 }
 
-// send sends the request to the ticket's upstream.
+// send sends the request to the reserved upstream.
 func (r *request) send(now time.Time, t *upstream.Reservation) {
 	s := r.caller.site
 	s.meter.attempts++
 	until := r.plan.AttemptDeadline(now)
-	begun, over := now, false // over once the attempt has ended
+	startedAt, finished := now, false // finished is set when the attempt has ended
 	end := func(now time.Time, load *upstream.Load, err error) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
-		r.ended(now, t, upstream.AttemptResult{At: now, Load: load, TimePerUnit: now.Sub(begun)}, err)
+		finished = true
+		r.ended(now, t, upstream.AttemptResult{At: now, Load: load, TimePerUnit: now.Sub(startedAt)}, err)
 	}
-	if s.upstreams[t.ID].away(now) {
-		s.at(now.Add(2*linkDelay), func(now time.Time) { end(now, nil, forward.ErrUnreachable) })
+	if s.upstreams[t.ID].unreachable(now) {
+		s.schedule(now.Add(2*linkDelay), func(now time.Time) { end(now, nil, forward.ErrUnreachable) })
 		return
 	}
 	j := &job{until: until}
 	j.answer = func(now time.Time, load upstream.Load, ran bool) {
-		s.at(now.Add(linkDelay), func(now time.Time) {
+		s.schedule(now.Add(linkDelay), func(now time.Time) {
 			if ran {
 				end(now, &load, nil)
 				return
@@ -157,11 +160,12 @@
 			end(now, &load, forward.ErrNotRun)
 		})
 	}
-	s.at(now.Add(linkDelay), func(now time.Time) { s.upstreams[t.ID].take(now, j) })
-	s.at(until, func(now time.Time) { end(now, nil, errTimeout) })
+	s.schedule(now.Add(linkDelay), func(now time.Time) { s.upstreams[t.ID].accept(now, j) })
+	s.schedule(until, func(now time.Time) { end(now, nil, errTimeout) })
 }
 
-// ended takes the outcome of an attempt.
+// ended handles the end of an attempt: the request is done, or its next attempt is
+// decided.
 func (r *request) ended(now time.Time, t *upstream.Reservation, rep upstream.AttemptResult, err error) {
 	s := r.caller.site
 	if err != nil {
@@ -176,17 +180,18 @@
 	done, err := r.plan.EndAttempt(t.ID, status, err, now)
 	switch {
 	case done && err == nil:
-		r.instance.returns.Served(pool, now)
-		s.meter.answer(s.load, now.Sub(s.start), now.Sub(r.caller.begun), r.caller.begun.Sub(s.start))
+		r.instance.retries.Served(pool, now)
+		s.meter.answer(s.load, now.Sub(s.start), now.Sub(r.caller.startedAt), r.caller.startedAt.Sub(s.start))
 	case done && err != errTimeout:
 		r.reject(now)
 	case done:
-		r.caller.again(now, now.Add(retryPause))
+		r.caller.retry(now, now.Add(retryBackoff))
 	default:
 		r.next(now)
 	}
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
--- a/internal/loadsim/step.go
+++ b/internal/loadsim/step.go
@@ -11,40 +11,40 @@
 	"github.com/zinnialadder/zinnialadder/pkg/upstream"
 )
 
-// StepLoad is one step of a trainer and the engines that make its texts. Lengths
-// are log-normal, and so is what their sender's estimates are off by.
+// StepLoad describes one training step and the engines that generate its texts. The
+// lengths of texts and the errors of the length hints are log-normally distributed.
 type StepLoad struct {
 	Engines      int
-	Slots        int // texts that an engine makes at once
+	Slots        int // texts that an engine generates at once
 	Groups       int
-	GroupSize    int     // items of a group
-	DesiredShare float64 // part of the groups that the trainer waits for
+	GroupSize    int     // items in a group
+	DesiredShare float64 // share of the groups that the trainer waits for
 
-	EventInterval time.Duration // time of an event of a text
-	MedianEvents  float64       // median of a text's events
-	EventsSigma   float64       // of their logarithm
+	EventInterval time.Duration // time between two events of a text
+	MedianEvents  float64       // median number of events of a text
+	EventsSigma   float64       // standard deviation of the logarithm of that number
 	MaxEvents     int
-	HintSigma     float64 // spread of the logarithm of estimates
+	HintSigma     float64 // standard deviation of the logarithm of a hint's error; hints are numbers of events
 
 	SlowEngines int
-	SlowFactor  float64 // times the time of an event there
+	SlowFactor  float64 // factor on EventInterval at slow engines
 	Seed        uint64
 }
 
-// CallSummary is a step of the brief's smaller deployment with long texts, at a
-// quarter of the engines that would take all its items at once.
+// CallSummary is a step of the trainer of that name with long texts, at about a third
+// of the engines that could run all its items at once.
 var CallSummary = StepLoad{Engines: 3, Slots: 8, Groups: 17, GroupSize: 4, DesiredShare: 0.9, EventInterval: 38 * time.Millisecond, MedianEvents: 17, EventsSigma: 0.84,
 	MaxEvents: 171, HintSigma: 0.5, SlowFactor: 1}
 
-// StepPolicy is a way to order a step's items.
+// StepPolicy is a way to order a step's items and to place them at engines.
 type StepPolicy struct {
 	Name      string
-	UseHints  bool // the sender's estimates are used
-	MoveTexts bool // a text goes on at a faster engine when its own is slow
+	UseHints  bool // items are ordered by the sender's length hints
+	MoveTexts bool // a text continues at a faster engine when its own is slow
 }
 
-// The step policies: the product's, items in the order in which they are listed,
-// and texts that stay where they began.
+// The step policies: the one in use, one with items in the order in which they are
+// listed, and one whose texts stay at the engine where they started.
 var (
 	LongestFirst = StepPolicy{Name: "longest first", UseHints: true, MoveTexts: true}
 	AsListed     = StepPolicy{Name: "as listed", MoveTexts: true}
@@ -52,45 +52,47 @@
 	StepPolicies = []StepPolicy{LongestFirst, AsListed, WithoutMoves}
 )
 
-// StepResult is what the trainer saw of a step.
+// StepResult is the outcome of a step.
 type StepResult struct {
 	Policy      string
-	DesiredTime time.Duration // until the groups that it waits for were whole
-	AllTime     time.Duration // until all were
-	Moves       int           // of texts to another engine
+	DesiredTime time.Duration // time until the groups that the trainer waits for were complete
+	AllTime     time.Duration // time until all groups were complete
+	Moves       int           // times that a text was moved to another engine
 }
 
-// RunStep plays one step under policy p.
+// RunStep simulates one step under policy p.
 func RunStep(load StepLoad, p StepPolicy) StepResult {
 	s := newStep(load, p)
 	s.place(s.start)
-	s.play()
-	return StepResult{Policy: p.Name, DesiredTime: s.wholeAfter(int(math.Ceil(load.DesiredShare * float64(load.Groups)))), AllTime: s.wholeAfter(load.Groups), Moves: s.moves}
+	s.runEvents()
+	return StepResult{Policy: p.Name, DesiredTime: s.completeAfter(int(math.Ceil(load.DesiredShare * float64(load.Groups)))), AllTime: s.completeAfter(load.Groups), Moves: s.moves}
 }
 
-// step is a step under way in simulated time.
+// step simulates a step.
 type step struct {
 	timeline
-	load     StepLoad
-	start    time.Time
-	run      *submission.Run
-	policy   StepPolicy
-	events   []int // of each item's text
-	made     []int // of them, so far
-	registry *upstream.Registry
-	left     []int           // items of each group that are not whole
-	whole    []time.Duration // when groups were, in order
-	moves    int
+	load       StepLoad
+	start      time.Time
+	run        *submission.Run
+	policy     StepPolicy
+	events     []int // number of events of each item's text
+	generated  []int // events generated so far, by item
+	registry   *upstream.Registry
+	remaining  []int           // items not yet complete, by group
+	completeAt []time.Duration // times after the start at which groups were complete, in order
+	moves      int
 }
 
+// stepModel is the model of the step.
 const stepModel = "model"
 
+// newStep returns a step at its start, without events.
 func newStep(load StepLoad, p StepPolicy) *step {
 	s := &step{load: load, policy: p, start: time.Unix(1_800_000_000, 0), registry: upstream.NewRegistry("")}
 	rnd := rand.New(rand.NewPCG(load.Seed, 2))
 	spec := submission.Spec{ID: "step", Model: stepModel, MinVersion: 1}
 	for g := range load.Groups {
-		s.left = append(s.left, load.GroupSize)
+		s.remaining = append(s.remaining, load.GroupSize)
 		for i := range load.GroupSize {
 			events := min(load.MaxEvents, max(1, int(load.MedianEvents*math.Exp(load.EventsSigma*rnd.NormFloat64()))))
 			hint := max(1, int(float64(events)*math.Exp(load.HintSigma*rnd.NormFloat64())))
@@ -101,7 +103,7 @@
 			spec.Items = append(spec.Items, submission.Item{ID: fmt.Sprintf("%d.%d", g, i), Length: hint, Affinity: fmt.Sprint(g)})
 		}
 	}
-	s.run, s.made = submission.NewRun(spec, nil, nil), make([]int, len(spec.Items))
+	s.run, s.generated = submission.NewRun(spec, nil, nil), make([]int, len(spec.Items))
 	var entries []upstream.Entry
 	for i := range load.Engines {
 		entries = append(entries, upstream.Entry{ID: fmt.Sprintf("i-%02d", i), Pool: pool, Address: "10.0.0.1:1", Slots: load.Slots, Versions: map[string]uint64{stepModel: 1}})
@@ -110,65 +112,65 @@
 	return s
 }
 
-// place starts the items that find room at now, in the order of the run.
+// place starts items in the order of the run while there is a free slot.
 func (s *step) place(now time.Time) {
 	for _, i := range s.run.Waiting(now) {
-		t, ok := s.registry.Acquire(s.want(i, now))
+		t, ok := s.registry.Acquire(s.requirements(i, now))
 		if !ok {
 			return
 		}
 		s.run.Started(i, now)
-		event := s.load.EventInterval
+		interval := s.load.EventInterval
 		for slow := range s.load.SlowEngines {
 			if t.ID == fmt.Sprintf("i-%02d", slow) {
-				event = time.Duration(s.load.SlowFactor * float64(event))
+				interval = time.Duration(s.load.SlowFactor * float64(interval))
 			}
 		}
-		s.next(now, i, t, event)
+		s.next(now, i, t, interval)
 	}
 }
 
-// want is what item i asks of an engine.
-func (s *step) want(i int, now time.Time) upstream.Requirements {
+// requirements returns what item i requires of an engine.
+func (s *step) requirements(i int, now time.Time) upstream.Requirements {
 	return upstream.Requirements{Pool: pool, Now: now, Model: stepModel, MinVersion: 1, Affinity: fmt.Sprint(i / s.load.GroupSize), NeedFreeSlot: true}
 }
 
-// next has the ticket's engine make the next events of item i, and looks then
-// whether the rest is better made elsewhere.
-func (s *step) next(now time.Time, i int, t *upstream.Reservation, event time.Duration) {
-	n := min(submission.FlushEvents, s.events[i]-s.made[i])
-	s.at(now.Add(time.Duration(n)*event), func(now time.Time) {
+// next schedules the next events of item i at the reserved engine. After them it ends
+// the item, moves it if a faster engine is available, or goes on here.
+func (s *step) next(now time.Time, i int, t *upstream.Reservation, interval time.Duration) {
+	n := min(submission.FlushEvents, s.events[i]-s.generated[i])
+	s.schedule(now.Add(time.Duration(n)*interval), func(now time.Time) {
 		p := submission.AttemptOutput{Versions: []uint64{1}, Status: http.StatusOK}
 		for range n {
-			s.made[i]++
-			p.Events = append(p.Events, submission.Event{ID: s.made[i], Version: 1})
+			s.generated[i]++
+			p.Events = append(p.Events, submission.Event{ID: s.generated[i], Version: 1})
 		}
-		t.Observe(upstream.AttemptResult{At: now, TimePerUnit: event})
+		t.Observe(upstream.AttemptResult{At: now, TimePerUnit: interval})
 		switch {
-		case s.made[i] == s.events[i]:
-			t.Done(upstream.AttemptResult{At: now, TimePerUnit: event})
+		case s.generated[i] == s.events[i]:
+			t.Done(upstream.AttemptResult{At: now, TimePerUnit: interval})
 			p.Complete = true
 			s.run.AttemptEnded(i, p, submission.ItemPolicy{MaxAttempts: 1}, now)
 			s.finished(now, i/s.load.GroupSize)
-		case s.policy.MoveTexts && t.FasterAvailable(s.want(i, now), submission.SlowEngineFactor):
+		case s.policy.MoveTexts && t.FasterAvailable(s.requirements(i, now), submission.SlowEngineFactor):
 			s.moves++
-			t.Done(upstream.AttemptResult{At: now, TimePerUnit: event})
+			t.Done(upstream.AttemptResult{At: now, TimePerUnit: interval})
 			s.run.AttemptEnded(i, p, submission.ItemPolicy{MaxAttempts: 1}, now)
 			s.place(now)
 		default:
 			s.run.AddEvents(i, p, submission.ItemPolicy{MaxAttempts: 1})
-			s.next(now, i, t, event)
+			s.next(now, i, t, interval)
 		}
 	})
 }
 
-// finished tells that an item of a group is whole.
+// finished records that an item of a group is complete.
 func (s *step) finished(now time.Time, group int) {
-	if s.left[group]--; s.left[group] == 0 {
-		s.whole = append(s.whole, now.Sub(s.start))
+	if s.remaining[group]--; s.remaining[group] == 0 {
+		s.completeAt = append(s.completeAt, now.Sub(s.start))
 	}
 	s.place(now)
 }
 
-// wholeAfter returns when n groups were whole.
-func (s *step) wholeAfter(n int) time.Duration { return s.whole[n-1] }
+// completeAfter returns the time after which n groups were complete.
+func (s *step) completeAfter(n int) time.Duration { return s.completeAt[n-1] }
--- a/internal/loadsim/timeline.go
+++ b/internal/loadsim/timeline.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// timeline plays events in the order of their times. Its zero value has none.
+// timeline runs events in the order of their simulated times. Its zero value is empty.
 type timeline struct {
 	events queue
-	order  int // of the last event added
+	order  int // order of the last event added
 }
 
-// at has do happen at t.
-func (l *timeline) at(t time.Time, do func(now time.Time)) {
+// schedule schedules do at t.
+func (l *timeline) schedule(t time.Time, do func(now time.Time)) {
 	l.order++
 	heap.Push(&l.events, event{t, l.order, do})
 }
 
-// play plays events until there are none.
-func (l *timeline) play() {
+// runEvents runs events, also those that they schedule, until there are none.
+func (l *timeline) runEvents() {
 	for len(l.events) > 0 {
 		e := heap.Pop(&l.events).(event)
 		e.do(e.at)
 	}
 }
 
-// event is something that happens at a time.
+// event is a function scheduled at a time.
 type event struct {
 	at    time.Time
-	order int // of events at the same time
+	order int // position among events at the same time
 	do    func(now time.Time)
 }
 
+// queue is a heap of events.
 type queue []event
 
 func (q queue) Len() int { return len(q) }
