--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,10 +1,10 @@
-// Package experiment measures what the brief measures, trainer idle time
-// and staleness, on a whole site in one process: engines of which one is
-// slow, a rate-limited weight store, and trainers that submit steps, train
-// and name new versions. Policies are compared in one run.
+// Package experiment compares policies by the idle time of trainers and the staleness
+// of their samples, on a whole site in one process: engines of which one is slow, a
+// rate-limited weight store, and trainers that submit steps, train and set new target
+// versions. Policies are compared in one run.
 //
-// Times are a tenth of the deployments': a version loads in 90 ms where
-// theirs load in 900 ms, and training takes 100 ms where theirs takes 1 s.
+// Times are a tenth of the deployments': a version loads in 90 ms instead of 900 ms,
+// and training takes 100 ms instead of 1 s.
 package experiment
 
 import (
@@ -22,15 +22,15 @@
 	"github.com/zinnialadder/zinnialadder/pkg/step"
 )
 
-// Trainer is one trainer's load.
+// Trainer describes the steps of one trainer.
 type Trainer struct {
 	Entry       string
 	Groups      int // groups in a step
 	GroupSize   int // generations in a group
-	UsualTokens int // tokens of most generations; one group in eight has three times as many
+	UsualTokens int // tokens of most generations; on average one group in eight has three times as many
 }
 
-// Deployment is one of the brief's deployments, as the experiment sees it.
+// Deployment describes a deployment: its size and its trainers.
 type Deployment struct {
 	Name     string
 	Engines  int
@@ -38,7 +38,7 @@
 	Trainers []Trainer
 }
 
-// The brief's deployments, with the steps their trainers submit.
+// The deployments that are compared.
 var (
 	Minho = Deployment{Name: "minho", Engines: 9, Entries: 3, Trainers: []Trainer{
 		{Entry: "script-draft", Groups: 9, GroupSize: 8, UsualTokens: 14},
@@ -47,61 +47,63 @@
 		{Entry: "match-batch", Groups: 18, GroupSize: 8, UsualTokens: 16}}}
 )
 
-// Policy is one way to run steps and rollouts.
+// Policy is a setting of steps and rollouts.
 type Policy struct {
 	Name         string
-	DesiredShare float64 // share of a step's groups the trainer waits for
-	HedgeFactor  float64 // of step.Policy; 0 for no hedging
-	MaxLoading   int     // engines loading at once
-	SlowFrom     float64 // of entry.Config; negative for taking no engine for slow
+	DesiredShare float64 // share of a step's groups that the trainer waits for
+	HedgeFactor  float64 // step.Policy.HedgeFactor; 0 for no hedging
+	MaxLoading   int     // limit of engines that load a version at once
+	SlowFrom     float64 // entry.Config.SlowFactor; negative if no engine counts as slow
 }
 
-// Config says what to run.
+// Config is the configuration of a run.
 type Config struct {
 	Deployment Deployment
 	Policy     Policy
-	Steps      int // per trainer
+	Steps      int // steps of each trainer
 	Seed       uint64
 }
 
-// Experiment times, a tenth of the deployments'.
+// Parameters of the engines, of the weight store and of the trainers. Times are a tenth
+// of the deployments'.
 const (
 	slots         = 8
 	tokenInterval = 2 * time.Millisecond
-	slowFactor    = 8 // of the one slow engine
+	slowFactor    = 8 // factor on the token interval of the slow engine
 	fetchTime     = 90 * time.Millisecond
 	freeFetches   = 2
 	trainTime     = 100 * time.Millisecond
-	stepDue       = 20 * time.Second
+	stepTimeout   = 20 * time.Second
 	poolName      = "model-pool"
 )
 
-// Result is what one run measured.
+// Result is the measurements of one run.
 type Result struct {
 	Deployment string
 	Policy     string
-	IdleShare  float64         // of the trainers' time, spent waiting for samples
-	StepWaits  []time.Duration // from a step's submission to its desired groups
-	LagMean    float64         // weight versions behind, over samples received
-	AgeMean    time.Duration   // since the version after a sample's was named
+	IdleShare  float64         // share of the trainers' time spent waiting for samples
+	StepWaits  []time.Duration // times from a step's submission to its desired groups, sorted
+	LagMean    float64         // weight versions behind the target, mean over samples
+	AgeMean    time.Duration   // mean time since the version after a sample's became the target; 0 for a current sample
 	Samples    int
 	Duplicates int // samples delivered more than once
-	TooOld     int // samples older than their bound when received
+	TooOld     int // samples older than the version lag allows when received
 }
 
-// Run runs one experiment.
+// Run runs one experiment. An error is one of starting the site, of submitting a step
+// or setting a target version, or that of a step that missed its deadline.
 func Run(cfg Config) (Result, error) {
 	s, err := start(cfg)
 	if err != nil {
 		return Result{}, err
 	}
 	defer s.Close()
-	// Each trainer has a pool of its own trainers' stand-in only by entry;
-	// versions are named by the first trainer, as one model is trained.
+	// All trainers train the model of one pool, so only the first one sets target
+	// versions.
 	m := newMeter(s)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer cancel()
-	if err := m.name(ctx, cfg.Deployment.Trainers[0].Entry, 1); err != nil {
+	if err := m.setTarget(ctx, cfg.Deployment.Trainers[0].Entry, 1); err != nil {
 		return Result{}, err
 	}
 	watch, stopWatch := context.WithCancel(ctx)
@@ -117,6 +119,8 @@
 	return m.result(cfg), err
 }
 
+// start starts the site, with one slow engine, and applies a catalogue with an entry
+// for each trainer.
 func start(cfg Config) (*site.Site, error) {
 	store := &enginetest.WeightStore{FetchTime: fetchTime, FullRateFetches: freeFetches}
 	hedge := cfg.Policy.HedgeFactor
@@ -146,11 +150,11 @@
 	return s, nil
 }
 
-// spec makes step k of trainer tr.
+// spec returns step k of trainer tr.
 func spec(cfg Config, tr Trainer, k int) step.Spec {
 	rnd := rand.New(rand.NewPCG(cfg.Seed, uint64(k)))
 	s := step.Spec{Customer: cfg.Deployment.Name, Entry: tr.Entry, ID: fmt.Sprintf("%s-%d", tr.Entry, k),
-		Desired: max(1, int(cfg.Policy.DesiredShare*float64(tr.Groups)+0.5)), Deadline: time.Now().Add(stepDue)}
+		Desired: max(1, int(cfg.Policy.DesiredShare*float64(tr.Groups)+0.5)), Deadline: time.Now().Add(stepTimeout)}
 	for i := range tr.Groups {
 		tokens := tr.UsualTokens
 		if rnd.IntN(8) == 0 {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -6,16 +6,17 @@
 	"github.com/zinnialadder/zinnialadder/internal/experiment"
 )
 
-// idleBound is the regression bound: the default policy's idle share over
-// the baseline's, each the mean of some rounds, in one run. Measured 0.82 to
-// 0.92 in single rounds.
+// idleBound is the limit of the default policy's idle share divided by the baseline's,
+// both means over the rounds of one run. Single rounds gave 0.82 to 0.92.
 const idleBound = 0.95
 
-// rounds of each policy, with other seeds, take turns.
+// rounds is the number of runs of each policy, with different seeds. The policies run
+// in turn.
 const rounds = 2
 
-// BenchmarkTrainerIdle compares the default policy with the baseline that
-// waits for every group, on trainer idle time and staleness.
+// BenchmarkTrainerIdle measures trainer idle time and staleness of the default policy
+// and of the baseline that waits for every group. It fails if the ratio of their idle
+// shares exceeds idleBound.
 func BenchmarkTrainerIdle(b *testing.B) {
 	baseline, standard := experiment.Policies[0], experiment.Policies[len(experiment.Policies)-1]
 	for _, d := range []experiment.Deployment{experiment.Minho, experiment.Rodokmen} {
@@ -31,22 +32,22 @@
 				b.ReportMetric(is, "idle")
 				b.ReportMetric(lag, "versions-behind")
 				if ratio := is / was; ratio > idleBound {
-					b.Fatalf("idle share %.3f, %.2f of the baseline's %.3f; bound %.2f", is, ratio, was, idleBound)
+					b.Fatalf("idle share %.3f is %.2f of the baseline's %.3f, want at most %.2f", is, ratio, was, idleBound)
 				}
 			}
 		})
 	}
 }
 
-// run runs one experiment, in which no sample may be delivered twice or too
-// old.
+// run runs one experiment, and fails if a sample was delivered twice or exceeded the
+// version lag.
 func run(b *testing.B, d experiment.Deployment, p experiment.Policy, seed uint64) experiment.Result {
 	r, err := experiment.Run(experiment.Config{Deployment: d, Policy: p, Steps: 8, Seed: seed})
 	if err != nil {
 		b.Fatal(err)
 	}
 	if r.Duplicates != 0 || r.TooOld != 0 {
-		b.Fatalf("%s: %d samples delivered twice, %d too old", p.Name, r.Duplicates, r.TooOld)
+		b.Fatalf("%s: %d samples delivered twice, %d too old, want none", p.Name, r.Duplicates, r.TooOld)
 	}
 	return r
 }
--- a/internal/experiment/meter.go
+++ b/internal/experiment/meter.go
@@ -12,53 +12,54 @@
 	"github.com/zinnialadder/zinnialadder/pkg/entry"
 )
 
-// pollInterval is how often the meter looks at what the trainers received.
+// pollInterval is the period of reading the samples that the trainers have received.
 const pollInterval = 2 * time.Millisecond
 
-// versionLag is the bound of the experiment's entries.
+// versionLag is the version lag that the experiment's entries allow.
 const versionLag = 1
 
-// meter plays the trainers and measures.
+// meter runs the trainers and measures idle time and staleness.
 type meter struct {
 	site *site.Site
 
-	mu      sync.Mutex
-	version uint64
-	namedAt map[uint64]time.Time
-	seen    map[string]bool // sample IDs received
-	whole   map[string]int  // group → samples received
-	lag     int             // summed over samples
-	age     time.Duration   // summed over samples
-	tooOld  int
-	waits   []time.Duration
-	trained time.Duration
+	mu             sync.Mutex
+	version        uint64               // target version
+	targetSetAt    map[uint64]time.Time // when a version became the target
+	seen           map[string]bool      // IDs of the samples received
+	samplesByGroup map[string]int       // samples received
+	lag            int                  // sum over samples
+	age            time.Duration        // sum over samples
+	tooOld         int
+	waits          []time.Duration // see Result.StepWaits
+	trained        time.Duration   // time spent in training
 }
 
 func newMeter(s *site.Site) *meter {
-	return &meter{site: s, namedAt: map[uint64]time.Time{}, seen: map[string]bool{}, whole: map[string]int{}}
+	return &meter{site: s, targetSetAt: map[uint64]time.Time{}, seen: map[string]bool{}, samplesByGroup: map[string]int{}}
 }
 
-// name names version v through an entry instance.
-func (m *meter) name(ctx context.Context, entryName string, v uint64) error {
+// setTarget makes v the target version through an entry instance.
+func (m *meter) setTarget(ctx context.Context, entryName string, v uint64) error {
 	e := m.site.Entries[0]
 	m.site.Trainer.SetTargetVersion(v)
 	err := entry.NewClient(e.Addr(), nil).SetTargetVersion(ctx, entry.WeightsRequest{Customer: e.View().Entries[entryName].Owner, Entry: entryName, Version: v})
 	m.mu.Lock()
-	m.version, m.namedAt[v] = v, time.Now()
+	m.version, m.targetSetAt[v] = v, time.Now()
 	m.mu.Unlock()
 	return err
 }
 
-// watch takes note of every sample the trainers receive.
+// watch records the samples that the trainers receive until ctx ends.
 func (m *meter) watch(ctx context.Context) error {
 	for ctx.Err() == nil {
-		m.look()
+		m.recordReceived()
 		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-func (m *meter) look() {
+// recordReceived records the samples received since the last call.
+func (m *meter) recordReceived() {
 	received := m.site.Trainer.Received()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,12 +68,12 @@
 			continue
 		}
 		m.seen[r.Sample.ID] = true
-		m.whole[r.Sample.Group]++
+		m.samplesByGroup[r.Sample.Group]++
 		oldest := r.Sample.OldestVersion()
 		lag := m.lagAt(oldest, r.At)
 		m.lag += lag
 		if lag > 0 {
-			m.age += r.At.Sub(m.namedAt[oldest+1])
+			m.age += r.At.Sub(m.targetSetAt[oldest+1])
 		}
 		if lag > versionLag {
 			m.tooOld++
@@ -80,33 +81,35 @@
 	}
 }
 
-// lagAt returns how many versions after the given one were named by at.
+// lagAt returns the number of versions newer than version that became the target
+// before at.
 func (m *meter) lagAt(version uint64, at time.Time) int {
 	lag := 0
 	for v := version + 1; v <= m.version; v++ {
-		if m.namedAt[v].Before(at) {
+		if m.targetSetAt[v].Before(at) {
 			lag++
 		}
 	}
 	return lag
 }
 
-// wholeGroups counts the groups of step k of tr that are whole.
-func (m *meter) wholeGroups(tr Trainer, k int) int {
+// completeGroups returns the number of complete groups of step k of tr.
+func (m *meter) completeGroups(tr Trainer, k int) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
 	for i := range tr.Groups {
-		if m.whole[fmt.Sprintf("%s-%d-%d", tr.Entry, k, i)] == tr.GroupSize {
+		if m.samplesByGroup[fmt.Sprintf("%s-%d-%d", tr.Entry, k, i)] == tr.GroupSize {
 			n++
 		}
 	}
 	return n
 }
 
-// train submits steps, waits for the desired groups, trains, and, for the
-// trainer that names versions, names the next one.
-func (m *meter) train(ctx context.Context, cfg Config, tr Trainer, names bool) error {
+// train runs a trainer: it submits each step, waits for the desired groups, trains, and
+// sets the next target version if setsTarget. An error is one of a call, or that of a
+// step that missed its deadline.
+func (m *meter) train(ctx context.Context, cfg Config, tr Trainer, setsTarget bool) error {
 	for k := range cfg.Steps {
 		s := spec(cfg, tr, k)
 		begun := time.Now()
@@ -114,9 +117,9 @@
 		if err := entry.NewClient(addr, nil).SubmitStep(ctx, s); err != nil {
 			return err
 		}
-		for m.wholeGroups(tr, k) < s.Desired {
+		for m.completeGroups(tr, k) < s.Desired {
 			if time.Now().After(s.Deadline) {
-				return fmt.Errorf("step %s: %d of %d groups when due", s.ID, m.wholeGroups(tr, k), s.Desired)
+				return fmt.Errorf("step %s: %d of %d desired groups complete at its deadline", s.ID, m.completeGroups(tr, k), s.Desired)
 			}
 			time.Sleep(pollInterval)
 		}
@@ -127,8 +130,8 @@
 		m.trained += trainTime
 		next := m.version + 1
 		m.mu.Unlock()
-		if names {
-			if err := m.name(ctx, tr.Entry, next); err != nil {
+		if setsTarget {
+			if err := m.setTarget(ctx, tr.Entry, next); err != nil {
 				return err
 			}
 		}
@@ -136,6 +139,7 @@
 	return nil
 }
 
+// result returns the measurements.
 func (m *meter) result(cfg Config) Result {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -158,8 +162,7 @@
 	return r
 }
 
-// Policies are the ways compared: baselines of this project's own first,
-// the default last.
+// Policies are the policies to compare: baselines first, the default last.
 var Policies = []Policy{
 	{Name: "every group, no hedging, none slow", DesiredShare: 1, MaxLoading: 3, SlowFrom: -1},
 	{Name: "every group, no hedging", DesiredShare: 1, MaxLoading: 3},
