--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,7 +1,6 @@
-// Package site starts a whole zinnialadder site inside one process on
-// loopback: the platform, engine, trainer and service stand-ins and some
-// entry instances. The demo and the tests use it; real deployments run each
-// part as its own process.
+// Package site runs a whole site in one process on loopback, for the demo and for
+// tests: fakes of the platform, engines, services and a trainer, and entry instances.
+// Real deployments run each as a process of its own.
 package site
 
 import (
@@ -29,23 +28,23 @@
 	"github.com/zinnialadder/zinnialadder/pkg/trainer/trainertest"
 )
 
-// Config says what a Site holds.
+// Config is the configuration of a Site.
 type Config struct {
 	Engines          int
 	Engine           enginetest.Config // applied to every engine
-	Services         int               // plain services; default 1
+	Services         int               // number of plain services; at least 1
 	Entries          int
-	Entry            entry.Config // ID, Listen and Platform are set per instance
-	Logger           *log.Logger  // default: discard
-	Clock            clock.Clock
-	DisablePeerLinks bool // instances have no peer link
-	// Poison has engines and services crash under the requests that it matches, and
-	// start again RestartAfter later; nil for none.
+	Entry            entry.Config // for every instance, except the fields that StartEntryWith sets
+	Logger           *log.Logger  // discards if nil
+	Clock            clock.Clock  // of the entry instances
+	DisablePeerLinks bool         // instances have no peer listener
+	// Poison makes engines and services crash on the requests that it matches, and
+	// restart after RestartAfter, or never if that is 0; nil for none.
 	Poison       *crashtest.Poison
 	RestartAfter time.Duration
 }
 
-// Site is a running site. Close it when done.
+// Site is a running site. Call Close to stop it.
 type Site struct {
 	Platform     *platformtest.Server
 	PlatformURL  string
@@ -57,17 +56,17 @@
 	ServiceAddrs []string
 	Entries      []*entry.Instance
 
-	cancel    context.CancelFunc
-	engines   []*crashtest.Server
-	services  []*crashtest.Server
-	entryCx   []context.CancelFunc
-	entryDone []chan struct{}
-	group     *errgroup.Group
-	cfg       Config
+	cancel      context.CancelFunc
+	engines     []*crashtest.Server
+	services    []*crashtest.Server
+	entryCancel []context.CancelFunc
+	entryDone   []chan struct{}
+	group       *errgroup.Group
+	cfg         Config
 }
 
-// Start starts a site as cfg says and waits until every entry instance has
-// read the empty catalogue.
+// Start starts a site. It does not wait for the entry instances to read the catalogue.
+// Errors are those of listening and of entry.New.
 func Start(cfg Config) (*Site, error) {
 	if cfg.Logger == nil {
 		cfg.Logger = log.New(io.Discard)
@@ -110,11 +109,11 @@
 	return s, nil
 }
 
-// StartEntry starts one more entry instance with the given ID.
+// StartEntry starts an entry instance with an ID. Errors are those of listening and of
+// entry.New.
 func (s *Site) StartEntry(id string) error { return s.StartEntryWith(id, func(*entry.Config) {}) }
 
-// StartEntryWith starts one more entry instance with the given ID, after
-// adjust has changed its configuration.
+// StartEntryWith is StartEntry with a configuration that adjust has changed.
 func (s *Site) StartEntryWith(id string, adjust func(*entry.Config)) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -139,7 +138,7 @@
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s.Entries, s.entryCx = append(s.Entries, in), append(s.entryCx, cancel)
+	s.Entries, s.entryCancel = append(s.Entries, in), append(s.entryCancel, cancel)
 	done := make(chan struct{})
 	s.entryDone = append(s.entryDone, done)
 	s.group.Go(func() error {
@@ -149,20 +148,19 @@
 	return nil
 }
 
-// StopEntry begins to shut entry instance i down gracefully.
-func (s *Site) StopEntry(i int) { s.entryCx[i]() }
+// StopEntry starts the graceful shutdown of entry instance i.
+func (s *Site) StopEntry(i int) { s.entryCancel[i]() }
 
-// EntryDone returns a channel that is closed once entry instance i has shut
-// down.
+// EntryDone returns a channel that is closed when entry instance i has shut down.
 func (s *Site) EntryDone(i int) <-chan struct{} { return s.entryDone[i] }
 
-// CrashEngine closes engine i's listener and connections, until it starts again.
+// CrashEngine closes engine i's listener and connections until it restarts.
 func (s *Site) CrashEngine(i int) { s.engines[i].Crash() }
 
-// CrashService closes service i's listener and connections, until it starts again.
+// CrashService closes service i's listener and connections until it restarts.
 func (s *Site) CrashService(i int) { s.services[i].Crash() }
 
-// Crashes returns when engines and services have crashed, in order.
+// Crashes returns the times at which engines and services crashed, in order.
 func (s *Site) Crashes() []time.Time {
 	var out []time.Time
 	for _, up := range slices.Concat(s.engines, s.services) {
@@ -172,7 +170,7 @@
 	return out
 }
 
-// Executions returns how many times each key has run, over all services.
+// Executions returns the number of executions by idempotency key, over all services.
 func (s *Site) Executions() map[string]int {
 	out := map[string]int{}
 	for _, svc := range s.Services {
@@ -183,8 +181,8 @@
 	return out
 }
 
-// Apply stores f in the catalogue and waits until every entry instance
-// has applied it.
+// Apply stores f in the catalogue and waits up to 10 s until every entry instance has
+// applied it. Errors are those of catalogue.Sync and WaitApplied.
 func (s *Site) Apply(f catalogue.File) error {
 	c := platform.NewClient(s.PlatformURL, nil)
 	out, err := catalogue.Sync(context.Background(), c, f, "site", time.Now())
@@ -194,14 +192,15 @@
 	return s.WaitApplied(out, 10*time.Second)
 }
 
-// WaitApplied waits until every running entry instance has applied the
-// row versions in out, or the time allowed has passed.
+// WaitApplied waits until every entry instance, including those that have shut down,
+// has applied the row versions in out. It returns an error if that takes longer than
+// within.
 func (s *Site) WaitApplied(out []catalogue.SyncResult, within time.Duration) error {
 	deadline := time.Now().Add(within)
 	for _, in := range s.Entries {
 		for !applied(in.View(), out) {
 			if time.Now().After(deadline) {
-				return errors.New("site: catalogue not applied in time")
+				return errors.New("site: catalogue not applied by all entry instances in time")
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -209,6 +208,7 @@
 	return nil
 }
 
+// applied reports whether v has the row versions in out.
 func applied(v *entry.View, out []catalogue.SyncResult) bool {
 	for _, o := range out {
 		if v.RowVersions[o.Key] < o.Version {
@@ -218,15 +218,16 @@
 	return true
 }
 
-// Close stops everything the site started.
+// Close stops all servers and entry instances of the site, and waits for them.
 func (s *Site) Close() {
-	for _, c := range s.entryCx {
+	for _, c := range s.entryCancel {
 		c()
 	}
 	s.cancel()
 	_ = s.group.Wait()
 }
 
+// serve serves h on loopback until ctx ends, and returns its address.
 func (s *Site) serve(ctx context.Context, h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -247,7 +248,8 @@
 	return ln.Addr().String(), nil
 }
 
-// serveUpstream serves an engine or a service until ctx ends.
+// serveUpstream serves an engine or a service, which may crash and restart, until ctx
+// ends.
 func (s *Site) serveUpstream(ctx context.Context, h http.Handler) (*crashtest.Server, error) {
 	var up *crashtest.Server
 	var ready sync.WaitGroup
@@ -268,16 +270,17 @@
 	return up, nil
 }
 
-// EnginePool returns a pool of all the site's engines, live.
+// EnginePool returns a pool of all the site's engines in state catalogue.Live.
 func (s *Site) EnginePool(name string) catalogue.Pool {
 	return catalogue.Pool{Name: name, Kind: catalogue.Engines, Upstreams: live(s.EngineAddrs)}
 }
 
-// ServicePool returns a pool of all the site's services, live.
+// ServicePool returns a pool of all the site's services in state catalogue.Live.
 func (s *Site) ServicePool(name string) catalogue.Pool {
 	return catalogue.Pool{Name: name, Kind: catalogue.Services, Upstreams: live(s.ServiceAddrs)}
 }
 
+// live returns upstreams at addrs in state catalogue.Live.
 func live(addrs []string) []catalogue.Upstream {
 	var out []catalogue.Upstream
 	for _, a := range addrs {
