--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,7 @@
-// Package relay is a TCP relay for tests that can lose track of the
-// connections it carries: they stay open and carry nothing more, while new
-// ones work, as a middlebox that forgot them leaves them.
+// Package relay is a TCP proxy for tests that simulates failures of the network. It can
+// drop the data of connections and keep them open, as a middlebox does that has lost
+// their state, with new connections unaffected; or drop all data, as a network
+// partition does.
 package relay
 
 import (
@@ -11,70 +12,71 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Proxy forwards connections made to Addr to a target. Call Start.
+// Proxy forwards the connections to Addr to a target. Start returns one.
 type Proxy struct {
 	target string
 	ln     net.Listener
 	group  errgroup.Group
 
-	mu    sync.Mutex
-	conns map[*tracked]bool
-	cut   bool // connections to come carry nothing either
+	mu           sync.Mutex
+	conns        map[*trackedConn]bool
+	blackholeNew bool // new connections are blackholed, too
 }
 
-// tracked is one connection of either side.
-type tracked struct {
+// trackedConn is a connection to a client or to the target.
+type trackedConn struct {
 	net.Conn
-	mu     sync.Mutex
-	silent bool
+	mu         sync.Mutex
+	blackholed bool
 }
 
-// Write drops what is written once the connection is silent.
-func (t *tracked) Write(b []byte) (int, error) {
+// Write drops the data if the connection is blackholed.
+func (t *trackedConn) Write(b []byte) (int, error) {
 	t.mu.Lock()
-	silent := t.silent
+	blackholed := t.blackholed
 	t.mu.Unlock()
-	if silent {
+	if blackholed {
 		return len(b), nil
 	}
 	return t.Conn.Write(b)
 }
 
-// Start returns a Relay to target, listening on a loopback port.
+// Start returns a Proxy to target that listens on a loopback port. An error is one of
+// listening.
 func Start(target string) (*Proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Proxy{target: target, ln: ln, conns: map[*tracked]bool{}}
+	r := &Proxy{target: target, ln: ln, conns: map[*trackedConn]bool{}}
 	r.group.Go(r.accept)
 	return r, nil
 }
 
-// Addr returns the address to connect to.
+// Addr returns the IP:port to connect to.
 func (r *Proxy) Addr() string { return r.ln.Addr().String() }
 
-// BlackholeOpen makes every connection now open carry nothing more, and stay open.
+// BlackholeOpen drops all further data of the connections now open, and keeps them open.
 func (r *Proxy) BlackholeOpen() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
 		c.mu.Lock()
-		c.silent = true
+		c.blackholed = true
 		c.mu.Unlock()
 	}
 }
 
-// BlackholeAll is Silence, and makes every connection to come carry nothing either, as
-// between networks that have lost each other.
+// BlackholeAll drops all further data of open and future connections, and keeps them
+// open, as a network partition does.
 func (r *Proxy) BlackholeAll() {
 	r.mu.Lock()
-	r.cut = true
+	r.blackholeNew = true
 	r.mu.Unlock()
 	r.BlackholeOpen()
 }
 
-// Close closes the listener and every connection, and waits for them.
+// Close closes the listener and all connections, and waits for their goroutines.
 func (r *Proxy) Close() {
 	r.ln.Close()
 	r.mu.Lock()
@@ -85,6 +87,8 @@
 	_ = r.group.Wait()
 }
 
+// accept forwards connections until the listener is closed. A connection is closed at
+// once if the target does not accept one.
 func (r *Proxy) accept() error {
 	for {
 		in, err := r.ln.Accept()
@@ -102,22 +106,23 @@
 	}
 }
 
-func (r *Proxy) track(c net.Conn) *tracked {
+// track registers a connection.
+func (r *Proxy) track(c net.Conn) *trackedConn {
 	r.mu.Lock()
-	t := &tracked{Conn: c, silent: r.cut}
+	t := &trackedConn{Conn: c, blackholed: r.blackholeNew}
 	r.conns[t] = true
 	r.mu.Unlock()
 	return t
 }
 
-// copy forwards from src to dst until src ends. A silent connection's end is
-// not told to the other side either.
-func (r *Proxy) copy(dst, src *tracked) {
+// copy forwards data from src to dst until src ends, and closes both. dst stays open if
+// it is blackholed: a lost connection's end is not seen at the other side.
+func (r *Proxy) copy(dst, src *trackedConn) {
 	_, _ = io.Copy(dst, src)
 	dst.mu.Lock()
-	silent := dst.silent
+	blackholed := dst.blackholed
 	dst.mu.Unlock()
-	if !silent {
+	if !blackholed {
 		dst.Close()
 	}
 	src.Close()
