--- a/internal/paired/paired.go
+++ b/internal/paired/paired.go
@@ -1,6 +1,6 @@
-// Package paired compares two builds by plays of the same days with the same
-// seeds: it tells the mean difference, its spread, whether it counts, and how
-// many pairs a smaller difference would need.
+// Package paired compares two builds by runs in pairs, with the same workload and seed
+// for both runs of a pair. It computes the mean difference with its confidence interval
+// by Student's t-distribution, and the number of pairs that a smaller difference needs.
 package paired
 
 import (
@@ -11,27 +11,27 @@
 )
 
 const (
-	// ConfidenceLevel is the confidence level of the interval and of a difference that
-	// counts: the usual one in twenty.
+	// ConfidenceLevel is the confidence level of the interval and of Significant. 0.95 is
+	// customary: one interval in twenty misses the true difference.
 	ConfidenceLevel = 0.95
-	// Power is how surely NeededFor's number of pairs shows a difference that is
-	// there: the usual four in five.
+	// Power is the probability that PairsNeeded pairs show a true difference to be
+	// significant. 0.8 is customary.
 	Power = 0.8
 )
 
-// Pair is one play of each build.
+// Pair is the results of one run of each build.
 type Pair struct{ Before, After float64 }
 
-// Result is what a set of pairs tells.
+// Result is the comparison of a set of pairs.
 type Result struct {
 	Pairs         int
 	Before, After float64 // means
-	Difference    float64 // mean of After less Before
+	Difference    float64 // mean of After minus Before
 	StdDev        float64 // standard deviation of the differences
-	HalfWidth     float64 // of the confidence interval of Difference
+	HalfWidth     float64 // half-width of Difference's confidence interval; infinite for fewer than two pairs
 }
 
-// Compare returns what pairs tell. The interval of fewer than two is infinite.
+// Compare compares the builds of pairs.
 func Compare(pairs []Pair) Result {
 	before, after, diffs := make([]float64, len(pairs)), make([]float64, len(pairs)), make([]float64, len(pairs))
 	for i, p := range pairs {
@@ -49,16 +49,17 @@
 	return r
 }
 
-// Significant reports whether the difference is not within what chance gives.
+// Significant reports whether the confidence interval of Difference excludes zero.
 func (r Result) Significant() bool { return math.Abs(r.Difference) > r.HalfWidth }
 
-// PairsNeeded returns how many pairs of this spread show a difference of d.
+// PairsNeeded returns the number of pairs that show a difference of d with the given
+// Power, for differences of the same standard deviation. It is between 2 and maxPairs.
 func (r Result) PairsNeeded(d float64) int {
 	if r.StdDev == 0 || d == 0 {
 		return 2
 	}
 	n := 2
-	for ; n < maxNeeded; n++ {
+	for ; n < maxPairs; n++ {
 		seen := (quantile((1+ConfidenceLevel)/2, n) + quantile(Power, n)) * r.StdDev / math.Sqrt(float64(n))
 		if seen <= math.Abs(d) {
 			break
@@ -67,10 +68,11 @@
 	return n
 }
 
-// maxNeeded ends the search of NeededFor.
-const maxNeeded = 10000
+// maxPairs is the limit of PairsNeeded.
+const maxPairs = 10000
 
-// quantile is that of Student's distribution for n pairs.
+// quantile returns the p-quantile of Student's t-distribution with n-1 degrees of
+// freedom.
 func quantile(p float64, n int) float64 {
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(p)
 }
