--- a/cmd/zinnialadder/check.go
+++ b/cmd/zinnialadder/check.go
@@ -12,27 +12,28 @@
 	"github.com/zinnialadder/zinnialadder/platform"
 )
 
-// errCheck ends check when a file has a fault; each was printed.
-var errCheck = errors.New("check: a file has a fault")
+// errCheck is the error of the check command when a file is invalid. The error of each
+// file has been printed before.
+var errCheck = errors.New("check: a file is invalid")
 
-// checkCmd returns the command that checks files before they are used.
+// checkCmd returns the command that checks settings, deploy and catalogue files.
 func checkCmd() *cobra.Command {
-	var deploy, machine, entry, items string
+	var deploy, node, entry, items string
 	cmd := &cobra.Command{
 		Use:   "check",
 		Short: "Check settings, deploy and catalogue files",
-		Long: "Check settings, deploy and catalogue files, and print for each that it is right, or its first\n" +
-			"fault with line and reason. Keys that are not known are faults, but in the platform's settings.",
+		Long: "Check settings, deploy and catalogue files, and print for each that it is ok, or its first\n" +
+			"error with line and reason. Unknown keys are errors, except in the platform's settings.",
 		Example: "  zinnialadder check --deploy deploy/system.toml --settings node.conf",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			faults := 0
+			invalid := 0
 			for _, f := range []struct {
 				path string
 				load func(path string) error
 			}{
 				{deploy, func(p string) error { _, err := deployfile.Load(p); return err }},
-				{machine, func(p string) error { _, err := platform.LoadSettings(p); return err }},
+				{node, func(p string) error { _, err := platform.LoadSettings(p); return err }},
 				{entry, func(p string) error { return settings.Load(p, new(settings.Entry)) }},
 				{items, func(p string) error { return settings.Load(p, new(catalogue.File)) }},
 			} {
@@ -40,20 +41,20 @@
 					continue
 				}
 				if err := f.load(f.path); err != nil {
-					faults++
+					invalid++
 					fmt.Fprintln(cmd.OutOrStdout(), err)
 					continue
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: ok\n", f.path)
 			}
-			if faults > 0 {
+			if invalid > 0 {
 				return errCheck
 			}
 			return nil
 		},
 	}
 	cmd.Flags().StringVar(&deploy, "deploy", "", "deploy file, such as deploy/system.toml")
-	cmd.Flags().StringVar(&machine, "settings", "", "settings file of a machine of the platform")
+	cmd.Flags().StringVar(&node, "settings", "", "platform's settings file of an instance")
 	cmd.Flags().StringVar(&entry, "entry", "", "settings file of an entry instance")
 	cmd.Flags().StringVar(&items, "catalogue", "", "catalogue file")
 	cmd.MarkFlagsOneRequired("deploy", "settings", "entry", "catalogue")
--- a/cmd/zinnialadder/check_test.go
+++ b/cmd/zinnialadder/check_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// check prints each file's first fault with its place, and its exit code tells
-// whether there was one; --version and --help end well.
+// Invalid files, unreadable files, an unreachable store and wrong flags give an error
+// that names them and a non-zero exit status, and check gives the line of the first
+// error of a file; valid files, --version and --help give exit status 0.
 func TestCheckCommand(t *testing.T) {
 	p := newProcesses(t)
 	write := func(name, content string) string {
@@ -19,8 +20,8 @@
 		}
 		return path
 	}
-	machine := "node=a\nzone=z\nregion=r\nlisten.front=10.0.0.1:80\nlisten.ready=10.0.0.1:81\nlisten.directory=10.0.0.1:82\nprovider.address=10.0.0.2:90\nnew.key=1\n"
-	right, wrong := write("right.conf", machine), write("wrong.conf", strings.Replace(machine, "10.0.0.1:81", "here", 1))
+	text := "node=a\nzone=z\nregion=r\nlisten.front=10.0.0.1:80\nlisten.ready=10.0.0.1:81\nlisten.directory=10.0.0.1:82\nprovider.address=10.0.0.2:90\nnew.key=1\n"
+	right, wrong := write("right.conf", text), write("wrong.conf", strings.Replace(text, "10.0.0.1:81", "here", 1))
 	noise := write("noise.log", "\x00\xff not a log\ntime=soon msg\n")
 	for name, c := range map[string]struct {
 		args []string
@@ -39,13 +40,13 @@
 		"a folder":   {[]string{"explain", "r1", p.dir}, false, p.dir},
 		"odd file":   {[]string{"ctl", "inspect", noise}, false, "noise.log"},
 		"no store":   {[]string{"ctl", "site", "--store", "127.0.0.1:9"}, false, "127.0.0.1:9"},
-		"versions":   {[]string{"ctl", "versions", "--store", "127.0.0.1:9"}, false, "the store was not read"},
+		"versions":   {[]string{"ctl", "versions", "--store", "127.0.0.1:9"}, false, "cannot read the store"},
 		"watch":      {[]string{"ctl", "versions", "--store", "127.0.0.1:9", "--watch", "-1s"}, false, "--watch"},
 		"profile":    {[]string{"node", "--settings", right, "--profile"}, false, "--metrics-port"},
 	} {
 		out, err := exec.Command(p.bin, c.args...).CombinedOutput()
 		if (err == nil) != c.ok || !strings.Contains(string(out), c.want) {
-			t.Errorf("%s: %v, %s", name, err, out)
+			t.Errorf("%s: %q: error %v, output %q, want success %t and %q in the output", name, c.args, err, out, c.ok, c.want)
 		}
 	}
 }
--- a/cmd/zinnialadder/ctl.go
+++ b/cmd/zinnialadder/ctl.go
@@ -17,11 +17,12 @@
 	"github.com/zinnialadder/zinnialadder/pkg/weights"
 )
 
+// ctlCmd returns the command of the operators' tool.
 func ctlCmd() *cobra.Command {
 	var base, author string
 	cmd := &cobra.Command{
 		Use:   "ctl",
-		Short: "Edit and read the catalogue and its audit trail; read what the platform's store holds",
+		Short: "Edit and read the catalogue and its audit trail; read the platform's store",
 	}
 	cmd.PersistentFlags().StringVar(&base, "platform", "http://127.0.0.1:7000", "platform base URL")
 	cmd.PersistentFlags().StringVar(&author, "author", os.Getenv("USER"), "name recorded in the audit trail")
@@ -35,12 +36,12 @@
 	return cmd
 }
 
-// applyCmd returns the command that makes the catalogue hold a file's items.
+// applyCmd returns the command that writes a file's items to the catalogue.
 func applyCmd(client func() *platform.Client, author *string) *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
 		Use:   "apply",
-		Short: "Make the catalogue hold a file's pools, entries and customers",
+		Short: "Write a file's pools, entries and customers to the catalogue",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var f catalogue.File
@@ -79,7 +80,7 @@
 func auditCmd(client func() *platform.Client) *cobra.Command {
 	return &cobra.Command{
 		Use:   "audit [KEY]",
-		Short: "Print the accepted changes of the catalogue and of weight targets, of all items or of those whose keys begin with KEY",
+		Short: "Print the accepted changes of the catalogue and of weight targets, all of them or those whose keys begin with KEY",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			changes, err := catalogue.Audit(cmd.Context(), client(), strings.Join(args, ""))
@@ -111,12 +112,12 @@
 	}
 }
 
-// removeCmd returns the command that takes an item out of the catalogue.
+// removeCmd returns the command that removes an item from the catalogue.
 func removeCmd(client func() *platform.Client, author *string) *cobra.Command {
 	prefixes := map[string]string{"entry": catalogue.EntryPrefix, "pool": catalogue.PoolPrefix, "customer": catalogue.CustomerPrefix}
 	return &cobra.Command{
 		Use:   "remove entry|pool|customer NAME",
-		Short: "Take an item out of the catalogue; a pool that entries use is refused",
+		Short: "Remove an item from the catalogue; fails for a pool that entries use",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			prefix, ok := prefixes[args[0]]
@@ -126,17 +127,17 @@
 			if err := catalogue.Remove(cmd.Context(), client(), prefix+args[1], authorOr(*author), time.Now()); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s %s is removed\n", args[0], args[1])
+			fmt.Fprintf(cmd.OutOrStdout(), "%s %s removed\n", args[0], args[1])
 			return nil
 		},
 	}
 }
 
-// weightsCmd returns the command that names a pool's weight version.
+// weightsCmd returns the command that sets the target version of a pool.
 func weightsCmd(client func() *platform.Client, author *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "weights POOL VERSION",
-		Short: "Name the weight version that a pool's engines are brought to",
+		Short: "Set the target version of a pool, the weight version that its engines load",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			v, err := strconv.ParseUint(args[1], 10, 64)
@@ -147,17 +148,17 @@
 			if err := weights.SetTarget(cmd.Context(), client(), t); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s is to load version %d\n", t.Pool, t.Version)
+			fmt.Fprintf(cmd.OutOrStdout(), "the target version of %s is %d\n", t.Pool, t.Version)
 			return nil
 		},
 	}
 }
 
-// stepsCmd returns the command that lists the training steps kept.
+// stepsCmd returns the command that prints the stored training steps.
 func stepsCmd(client func() *platform.Client) *cobra.Command {
 	return &cobra.Command{
 		Use:   "steps",
-		Short: "Print the training steps kept, open and closed",
+		Short: "Print the stored training steps, open and closed",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			heads, err := step.List(cmd.Context(), client())
@@ -169,6 +170,7 @@
 	}
 }
 
+// authorOr returns a, or "unknown" if it is empty.
 func authorOr(a string) string {
 	if a == "" {
 		return "unknown"
@@ -176,6 +178,7 @@
 	return a
 }
 
+// orNone returns s, or "(none)" if it is empty.
 func orNone(s string) string {
 	if s == "" {
 		return "(none)"
@@ -183,6 +186,7 @@
 	return s
 }
 
+// printJSON prints v as indented JSON.
 func printJSON(cmd *cobra.Command, v any) error {
 	enc := json.NewEncoder(cmd.OutOrStdout())
 	enc.SetIndent("", "  ")
--- a/cmd/zinnialadder/demo.go
+++ b/cmd/zinnialadder/demo.go
@@ -23,6 +23,7 @@
 //go:embed demo.jsonc
 var demoCatalogue []byte
 
+// demoCmd returns the command that runs a site in one process and sends it requests.
 func demoCmd() *cobra.Command {
 	return &cobra.Command{
 		Use:   "demo",
@@ -53,13 +54,13 @@
 	}
 }
 
-// demoRequests does what a caller does: asks for a route, then sends one
-// generation and one non-idempotent call to the instance it was given, each with its
-// customer's key.
+// demoRequests sends requests as a caller does: it asks for a route, then sends one
+// generation and, twice with the same key, one non-idempotent call to the instance that
+// the route gives, each with the customer's API key. It writes the responses to out.
 func demoRequests(ctx context.Context, out io.Writer, s *site.Site, key string) error {
 	first := entry.NewClient(s.Entries[0].Addr(), nil)
 	if _, err := first.Route(ctx, "minho", "agent-17"); err == nil {
-		return errors.New("route: answered a caller without a key")
+		return errors.New("route: got a route without an API key, want an error")
 	} else {
 		fmt.Fprintf(out, "route without the customer's key: %v\n", err)
 	}
@@ -81,7 +82,7 @@
 	}
 	fmt.Fprintf(out, "generate: %d tokens, weight versions %v, sample %s\n", last.Tokens, last.WeightVersions, last.SampleID)
 	for len(s.Trainer.Received()) == 0 && ctx.Err() == nil {
-		time.Sleep(10 * time.Millisecond) // the answer does not wait for the trainer
+		time.Sleep(10 * time.Millisecond) // samples are delivered after the response
 	}
 	for _, r := range s.Trainer.Received() {
 		fmt.Fprintf(out, "trainer: holds %s labelled %v, delivered %d time(s)\n", r.Sample.ID, r.Sample.WeightVersions, r.Deliveries)
--- a/cmd/zinnialadder/experiment.go
+++ b/cmd/zinnialadder/experiment.go
@@ -11,6 +11,7 @@
 	"github.com/zinnialadder/zinnialadder/internal/loadsim"
 )
 
+// experimentCmd returns the command that compares policies in experiments.
 func experimentCmd() *cobra.Command {
 	var steps int
 	var seed uint64
@@ -20,7 +21,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if steps <= 0 || steps > 100 {
-				return fmt.Errorf("steps %d: want 1 to 100", steps)
+				return fmt.Errorf("--steps %d: want 1 to 100", steps)
 			}
 			var results []experiment.Result
 			for _, d := range []experiment.Deployment{experiment.Minho, experiment.Rodokmen} {
@@ -42,24 +43,25 @@
 	return cmd
 }
 
-// sweptRates are the loads that experiment load offers, in parts of what the
-// upstreams can serve: from half of it to four times as much.
-var sweptRates = []float64{0.5, 0.7, 0.8, 0.9, 1, 1.25, 1.5, 2, 2.5, 3, 3.5, 4}
+// offeredLoads are the request rates of experiment load, as multiples of the capacity of
+// the upstreams.
+var offeredLoads = []float64{0.5, 0.7, 0.8, 0.9, 1, 1.25, 1.5, 2, 2.5, 3, 3.5, 4}
 
+// loadCompareCmd returns the command that compares policies for rejecting requests.
 func loadCompareCmd() *cobra.Command {
 	var seeds int
 	var svg string
 	cmd := &cobra.Command{
 		Use:   "load",
-		Short: "Compare ways to turn requests away, in simulated time",
-		Long: "Compare ways to turn requests away, in simulated time: at 0.5 to 4 times what the upstreams can\n" +
-			"serve, how much is answered, how late, and what it costs the upstreams in attempts.",
+		Short: "Compare policies for rejecting requests, in simulated time",
+		Long: "Compare policies for rejecting requests, in simulated time: at 0.5 to 4 times the capacity of the\n" +
+			"upstreams, the share of requests answered, their latency, and the attempts made at upstreams.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds <= 0 || seeds > 1000 {
-				return fmt.Errorf("seeds %d: want 1 to 1000", seeds)
+				return fmt.Errorf("--seeds %d: want 1 to 1000", seeds)
 			}
-			results := loadsim.Sweep(loadsim.Minho, loadsim.Policies, sweptRates, seeds)
+			results := loadsim.Sweep(loadsim.Minho, loadsim.Policies, offeredLoads, seeds)
 			if svg != "" {
 				if err := writeFile(svg, func(w io.Writer) error { return loadsim.WriteChart(w, results) }); err != nil {
 					return err
@@ -68,43 +70,46 @@
 			return loadsim.WriteTable(cmd.OutOrStdout(), results)
 		},
 	}
-	cmd.Flags().IntVar(&seeds, "seeds", 5, "seeds played of each load; 1 to 1000")
-	cmd.Flags().StringVar(&svg, "svg", "", "file to draw goodput against load to, as SVG")
+	cmd.Flags().IntVar(&seeds, "seeds", 5, "seeds simulated for each load; 1 to 1000")
+	cmd.Flags().StringVar(&svg, "svg", "", "SVG file to write with a chart of goodput against load")
 	return cmd
 }
 
-// sweptEngines are the numbers of engines that experiment step plays a step with:
-// from a place for each item to one for four.
-var sweptEngines = []int{9, 6, 3, 2}
+// engineCounts are the numbers of engines that experiment step simulates a step with,
+// from a slot for each item to one slot for four items.
+var engineCounts = []int{9, 6, 3, 2}
 
-// slowFactor is how much slower the slow engine of experiment step is.
+// slowFactor is how many times slower than the others the slow engine of experiment step
+// is.
 const slowFactor = 4
 
+// stepCompareCmd returns the command that compares policies for ordering and placing the
+// items of a step.
 func stepCompareCmd() *cobra.Command {
 	var seeds int
 	cmd := &cobra.Command{
 		Use:   "step",
-		Short: "Compare ways to order a step's items and to place them, in simulated time",
+		Short: "Compare policies for ordering and placing the items of a step, in simulated time",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds <= 0 || seeds > 10_000 {
-				return fmt.Errorf("seeds %d: want 1 to 10000", seeds)
+				return fmt.Errorf("--seeds %d: want 1 to 10000", seeds)
 			}
-			return loadsim.WriteSteps(cmd.OutOrStdout(), loadsim.SweepSteps(loadsim.CallSummary, loadsim.StepPolicies, sweptEngines, slowFactor, seeds))
+			return loadsim.WriteSteps(cmd.OutOrStdout(), loadsim.SweepSteps(loadsim.CallSummary, loadsim.StepPolicies, engineCounts, slowFactor, seeds))
 		},
 	}
-	cmd.Flags().IntVar(&seeds, "seeds", 200, "seeds played of each load; 1 to 10000")
+	cmd.Flags().IntVar(&seeds, "seeds", 200, "seeds simulated for each load; 1 to 10000")
 	return cmd
 }
 
-// writeFile creates the file path and has write write it.
+// writeFile creates the file at path and calls write with it.
 func writeFile(path string, write func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	if err := write(f); err != nil {
-		f.Close() // the first error tells more
+		f.Close() // the error of write is returned
 		return err
 	}
 	return f.Close()
--- a/cmd/zinnialadder/explain.go
+++ b/cmd/zinnialadder/explain.go
@@ -9,14 +9,16 @@
 	"github.com/zinnialadder/zinnialadder/internal/explain"
 )
 
-// slowestShown is how many submissions --summary lists.
+// slowestShown is how many of the slowest submissions --summary lists.
 const slowestShown = 20
 
+// explainCmd returns the command that explains requests, items and submissions from
+// instances' logs.
 func explainCmd() *cobra.Command {
 	var summary bool
 	cmd := &cobra.Command{
 		Use:   "explain ID FILE... | --summary FILE...",
-		Short: "Tell from instances' logs what happened to a request, item or submission, or what all submissions waited for",
+		Short: "Print from instances' logs what happened to a request, item or submission, or what all submissions waited for",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if summary {
@@ -32,19 +34,19 @@
 			}
 			e, ok := explain.Find(lines, args[0])
 			if !ok {
-				return fmt.Errorf("no line names %s; successes beyond the lines of a second are not logged", args[0])
+				return fmt.Errorf("no line names %s; successful requests beyond the limit of lines per second are not logged", args[0])
 			}
 			return e.Write(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().BoolVar(&summary, "summary", false, "tell what the time of all submissions went to, and of the slowest ones")
+	cmd.Flags().BoolVar(&summary, "summary", false, "print the time that all submissions, and the slowest ones, spent in each phase")
 	return cmd
 }
 
-// readLogs reads the lines of the files named, at least one.
+// readLogs returns the lines of the log files. It fails if names is empty.
 func readLogs(names []string) ([]explain.Line, error) {
 	if len(names) == 0 {
-		return nil, fmt.Errorf("no log file is named")
+		return nil, fmt.Errorf("no log file given")
 	}
 	var lines []explain.Line
 	for _, name := range names {
--- a/cmd/zinnialadder/keys.go
+++ b/cmd/zinnialadder/keys.go
@@ -11,12 +11,12 @@
 	"github.com/zinnialadder/zinnialadder/pkg/platform"
 )
 
-// keysCmd returns the command that adds, takes away and lists customers' keys.
+// keysCmd returns the command that adds, removes and lists the API keys of customers.
 func keysCmd(client func() *platform.Client, author *string) *cobra.Command {
 	cmd := &cobra.Command{Use: "keys", Short: "Add, take away and list the API keys of a customer of the catalogue"}
 	cmd.AddCommand(&cobra.Command{
 		Use:   "add CUSTOMER",
-		Short: "Make a key for a customer and print it; it is kept as a digest and cannot be printed again",
+		Short: "Create a key for a customer and print it; only its digest is stored, so it cannot be printed again",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			key := rand.Text()
@@ -29,7 +29,7 @@
 		},
 	}, &cobra.Command{
 		Use:   "remove CUSTOMER DIGEST",
-		Short: "Take the key away whose digest begins so",
+		Short: "Remove the key of a customer whose digest begins with DIGEST",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return catalogue.RemoveKey(cmd.Context(), client(), args[0], args[1], authorOr(*author), time.Now())
--- a/cmd/zinnialadder/load.go
+++ b/cmd/zinnialadder/load.go
@@ -20,32 +20,33 @@
 	"github.com/zinnialadder/zinnialadder/pkg/verdict"
 )
 
-// Bounds of a load run: load tests stay small and on this machine.
+// Limits of a load run, which is a small test on one machine.
 const (
 	maxLoadRequests    = 100000
 	maxLoadConcurrency = 256
 	maxLoadTime        = 5 * time.Minute
 )
 
-// loadSpec is one load run.
+// loadSpec holds the parameters of a load run.
 type loadSpec struct {
 	target      string // host:port on loopback
-	direct      bool   // speak the engine protocol to target, not the entry's
+	direct      bool   // target is an engine, not an entry instance
 	customer    string
 	entryName   string
 	requests    int
-	concurrency int
-	tokens      int
-	within      time.Duration
+	concurrency int           // requests in flight
+	tokens      int           // limit per generation
+	within      time.Duration // limit of the whole run
 }
 
+// check returns an error if a parameter is out of its limits.
 func (s loadSpec) check() error {
 	host, _, err := net.SplitHostPort(s.target)
 	if err != nil {
 		return fmt.Errorf("--target: %w", err)
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("--target %s: load runs go to loopback addresses only", s.target)
+		return fmt.Errorf("--target %s: must be a loopback address", s.target)
 	}
 	switch {
 	case s.requests < 1 || s.requests > maxLoadRequests:
@@ -60,11 +61,12 @@
 	return nil
 }
 
+// loadCmd returns the command that sends a limited load of generations.
 func loadCmd() *cobra.Command {
 	var s loadSpec
 	cmd := &cobra.Command{
 		Use:   "load",
-		Short: "Send a bounded load of generations to an entry instance (or an engine) on loopback",
+		Short: "Send a limited load of generations to an entry instance (or an engine) on loopback",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := s.check(); err != nil {
 				return err
@@ -76,24 +78,26 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&s.target, "target", "127.0.0.1:7400", "entry instance (or, with --direct, engine) address")
-	f.BoolVar(&s.direct, "direct", false, "send to an engine directly, for a baseline")
+	f.BoolVar(&s.direct, "direct", false, "send to an engine instead of an entry instance, for a baseline")
 	f.StringVar(&s.customer, "customer", "minho", "customer")
 	f.StringVar(&s.entryName, "entry", "negotiation-drafts", "catalogue entry")
-	f.IntVar(&s.requests, "requests", 1000, "generations to send")
-	f.IntVar(&s.concurrency, "concurrency", 16, "generations at once")
+	f.IntVar(&s.requests, "requests", 1000, "number of generations to send")
+	f.IntVar(&s.concurrency, "concurrency", 16, "generations in flight")
 	f.IntVar(&s.tokens, "tokens", 8, "tokens per generation")
-	f.DurationVar(&s.within, "within", time.Minute, "stop sending after this long")
+	f.DurationVar(&s.within, "within", time.Minute, "time after which the run ends")
 	return cmd
 }
 
-// loadResult is what a load run measured.
+// loadResult holds the measurements of a load run.
 type loadResult struct {
-	hist     *hdrhistogram.Histogram // microseconds
+	hist     *hdrhistogram.Histogram // latency in microseconds
 	ok, fail int64
 	verdicts map[string]int64
 	took     time.Duration
 }
 
+// runLoad sends the requests of s and returns the measurements. It ends early when ctx is
+// done or s.within has passed.
 func runLoad(ctx context.Context, s loadSpec) loadResult {
 	ctx, cancel := context.WithTimeout(ctx, s.within)
 	defer cancel()
@@ -111,7 +115,7 @@
 					return nil
 				}
 				t0 := time.Now()
-				v, err := s.one(ctx, hc, i)
+				v, err := s.send(ctx, hc, i)
 				mu.Lock()
 				_ = res.hist.RecordValue(time.Since(t0).Microseconds())
 				res.verdicts[v]++
@@ -130,8 +134,8 @@
 	return res
 }
 
-// one sends generation i and returns its verdict.
-func (s loadSpec) one(ctx context.Context, hc *http.Client, i int64) (string, error) {
+// send sends generation i and returns its verdict, or "error" if there is none.
+func (s loadSpec) send(ctx context.Context, hc *http.Client, i int64) (string, error) {
 	if s.direct {
 		st, err := engine.NewClient(s.target, hc).Generate(ctx, engine.GenerateRequest{
 			RequestID: fmt.Sprint("load-", i), Prompt: fmt.Sprint("prompt ", i%64), MaxTokens: s.tokens})
@@ -157,11 +161,12 @@
 	case a.Last.Done:
 		return verdict.Ran.String(), nil
 	case a.Last.Verdict == nil:
-		return "error", fmt.Errorf("status %d, cut short", a.Status)
+		return "error", fmt.Errorf("status %d: response ended without a verdict", a.Status)
 	}
 	return a.Last.Verdict.String(), fmt.Errorf("status %d: %s", a.Status, a.Last.Error)
 }
 
+// write writes the measurements as text.
 func (r loadResult) write(w io.Writer) {
 	fmt.Fprintf(w, "requests %d ok %d failed %d in %v: %.0f/s\n", r.ok+r.fail, r.ok, r.fail,
 		r.took.Round(time.Millisecond), float64(r.ok+r.fail)/r.took.Seconds())
--- a/cmd/zinnialadder/main.go
+++ b/cmd/zinnialadder/main.go
@@ -1,6 +1,6 @@
-// Command zinnialadder runs the programs of zinnialadder: entry instances,
-// the operators' tool, and the stand-ins for the platform, engines,
-// trainers and plain services that tests and demos use.
+// Command zinnialadder runs the instances of zinnialadder, the tools for its
+// operators, its soak and load tests, and the fake platform, engines, trainers
+// and plain services that tests and demos use.
 package main
 
 import (
@@ -37,7 +37,8 @@
 	}
 }
 
-// version returns the version of the build: its commit, if it was built from one.
+// version returns the commit that the binary was built from, or the version of the
+// main module if the commit is not recorded.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -51,12 +52,13 @@
 	return info.Main.Version
 }
 
-// signalContext returns a context that ends on SIGINT or SIGTERM.
+// signalContext returns a context that is cancelled on SIGINT or SIGTERM.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// newLogger returns the logger for a program of the given role.
+// newLogger returns a logger to standard error whose lines have role as their prefix and
+// the data centre as a field. An empty c.LogLevel means info.
 func newLogger(role string, c settings.Common) *log.Logger {
 	l := log.NewWithOptions(os.Stderr, log.Options{ReportTimestamp: true, Prefix: role})
 	if lvl, err := log.ParseLevel(c.LogLevel); err == nil && c.LogLevel != "" {
@@ -65,10 +67,12 @@
 	return l.With("data_centre", c.DataCentre)
 }
 
-// shutdownGrace bounds how long a stand-in waits for its requests at exit.
-const shutdownGrace = 10 * time.Second
+// shutdownTimeout limits how long a fake server waits for its requests in flight
+// when it is stopped.
+const shutdownTimeout = 10 * time.Second
 
-// serve serves h on ln until ctx ends, then shuts down gracefully.
+// serve serves h on ln until ctx is done, then shuts down gracefully within
+// shutdownTimeout.
 func serve(ctx context.Context, ln net.Listener, h http.Handler) error {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
 	g, gctx := errgroup.WithContext(ctx)
@@ -80,14 +84,14 @@
 	})
 	g.Go(func() error {
 		<-gctx.Done()
-		sctx, cancel := context.WithTimeout(context.Background(), shutdownGrace)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		return srv.Shutdown(sctx)
+		return srv.Shutdown(shutdownCtx)
 	})
 	return g.Wait()
 }
 
-// listenAndServe is serve on a new listener at addr.
+// listenAndServe calls serve on a new listener at addr, which is host:port.
 func listenAndServe(ctx context.Context, logger *log.Logger, addr string, h http.Handler) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -99,6 +103,7 @@
 	return err
 }
 
+// settingsFlag adds the required flag --settings to cmd.
 func settingsFlag(cmd *cobra.Command, path *string) {
 	cmd.Flags().StringVar(path, "settings", "", "settings file (JSON with comments)")
 	_ = cmd.MarkFlagRequired("settings")
--- a/cmd/zinnialadder/node.go
+++ b/cmd/zinnialadder/node.go
@@ -31,12 +31,14 @@
 )
 
 const (
-	// shutdownShare is the part of the grace that is left for requests under
-	// way when a node has drained.
-	shutdownShare = 8
-	// memoryShare is the part of its memory limit from which on a node
-	// collects garbage harder.
-	memoryShare = 0.6
+	// shutdownDivisor gives the time that a drained instance waits for requests in
+	// flight, and then for its usage counts to be written: the shutdown grace divided
+	// by it, for each of the two.
+	shutdownDivisor = 8
+	// memoryFraction is the fraction of the instance's memory limit that is set as
+	// the soft memory limit of the Go runtime, which collects garbage more often
+	// near it.
+	memoryFraction = 0.6
 )
 
 func nodeCmd() *cobra.Command {
@@ -46,7 +48,7 @@
 	cmd := &cobra.Command{
 		Use:   "node",
 		Short: "Run an instance on the users' platform",
-		Long: "Run an instance on the users' platform. Its settings file is the platform's; its path is\n" +
+		Long: "Run an instance on the users' platform. It reads the platform's settings file, whose path is\n" +
 			"taken from --settings or from the environment variable " + platform.SettingsVariable + ".",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -54,7 +56,7 @@
 				path = os.Getenv(platform.SettingsVariable)
 			}
 			if path == "" {
-				return fmt.Errorf("no settings: give --settings or set %s", platform.SettingsVariable)
+				return fmt.Errorf("no settings file: give --settings or set %s", platform.SettingsVariable)
 			}
 			s, err := platform.LoadSettings(path)
 			if err != nil {
@@ -67,33 +69,34 @@
 			ctx, stop := signalContext()
 			defer stop()
 			if profile && metricsAddress(s, metricsPort) == "" {
-				return errors.New("--profile: there is no address for metrics: give --metrics-port")
+				return errors.New("--profile: no address serves metrics: give --metrics-port")
 			}
 			return runNode(ctx, path, s, nodeOptions{metricsPort: metricsPort, profile: profile, level: logLevel})
 		},
 	}
 	cmd.Flags().StringVar(&path, "settings", "", "the platform's settings file")
-	cmd.Flags().StringVar(&level, "log-level", "info", "least level of lines that are logged: debug, info, warn or error")
-	cmd.Flags().IntVar(&metricsPort, "metrics-port", 0, "port of the machine's address on which /metrics is served; 0 for the control address, if there is one")
-	cmd.Flags().BoolVar(&profile, "profile", false, "serve profiles of the process beside the metrics, under /debug/pprof/")
+	cmd.Flags().StringVar(&level, "log-level", "info", "lowest level that is logged: debug, info, warn or error")
+	cmd.Flags().IntVar(&metricsPort, "metrics-port", 0, "port of the instance's address that serves /metrics; 0 for the control address, if there is one")
+	cmd.Flags().BoolVar(&profile, "profile", false, "serve profiles of the process at the address of the metrics, under /debug/pprof/")
 	return cmd
 }
 
-// nodeOptions are what the command line tells a node.
+// nodeOptions holds the command-line options of the node command other than the path
+// of the settings file.
 type nodeOptions struct {
 	metricsPort int  // 0 for the control address
-	profile     bool // serve profiles beside the metrics
+	profile     bool // serve profiles at the address of the metrics
 	level       log.Level
 }
 
-// runNode runs a node and the servers of its interfaces until ctx ends and it
-// has drained.
+// runNode runs an instance and its HTTP servers until ctx is done and the instance
+// has drained. path is the settings file that s was read from.
 func runNode(ctx context.Context, path string, s platform.Settings, opts nodeOptions) error {
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryFraction * float64(s.MemoryMB) * (1 << 20)))
 	out := logs.NewWriter(os.Stdout)
 	defer out.Close()
 	logger := log.NewWithOptions(out, log.Options{ReportTimestamp: true, TimeFormat: "15:04:05.000", Formatter: log.LogfmtFormatter, Level: opts.level}).With("node", s.Node)
-	stdlog.SetOutput(out) // what libraries log; it must not block either
+	stdlog.SetOutput(out) // libraries log through it, and must not block on the output
 	registry := metrics.NewRegistry()
 	store := platform.NewStore(s.StoreAddress)
 	store.OnCall = func(call string, took time.Duration, err error) {
@@ -119,37 +122,38 @@
 	})
 	callers := platform.NewCallerAPI(n)
 	var servers []*http.Server
-	for _, part := range []struct {
+	for _, endpoint := range []struct {
 		address string
 		handler http.Handler
 	}{{s.FrontAddress, callers.FrontHandler()}, {s.ReadyAddress, callers.ReadyHandler()}, {s.DirectoryAddress, callers.AddressHandler()}, {metricsAddress(s, opts.metricsPort), metricsHandler(registry, opts.profile)}} {
-		if part.address == "" {
+		if endpoint.address == "" {
 			continue
 		}
-		srv, err := startServer(&group, part.address, part.handler)
+		srv, err := startServer(&group, endpoint.address, endpoint.handler)
 		if err != nil {
 			return err
 		}
 		servers = append(servers, srv)
 	}
-	rctx, stopReloading := context.WithCancel(context.Background())
+	reloadCtx, stopReloading := context.WithCancel(context.Background())
 	defer stopReloading()
-	group.Go(func() error { return reload(rctx, logger, path, store) })
-	links.Serve(rctx, n.Peers, n)
+	group.Go(func() error { return reload(reloadCtx, logger, path, store) })
+	links.Serve(reloadCtx, n.Peers, n)
 	err = n.Run(ctx)
 	stopReloading()
-	sctx, cancel := context.WithTimeout(context.Background(), s.ShutdownGrace/shutdownShare)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), s.ShutdownGrace/shutdownDivisor)
 	defer cancel()
 	for _, srv := range servers {
-		err = errors.Join(err, srv.Shutdown(sctx))
+		err = errors.Join(err, srv.Shutdown(shutdownCtx))
 	}
-	tctx, cancelTelling := context.WithTimeout(context.Background(), s.ShutdownGrace/shutdownShare)
-	defer cancelTelling()
-	n.FlushUsage(tctx)
+	flushCtx, cancelFlush := context.WithTimeout(context.Background(), s.ShutdownGrace/shutdownDivisor)
+	defer cancelFlush()
+	n.FlushUsage(flushCtx)
 	return errors.Join(err, group.Wait())
 }
 
-// metricsAddress returns where metrics are served, empty for nowhere.
+// metricsAddress returns the host:port that serves metrics, or "" if there is none: the
+// control address if port is 0, otherwise port on the host that callers connect to.
 func metricsAddress(s platform.Settings, port int) string {
 	if port == 0 {
 		return s.ControlAddress
@@ -161,8 +165,9 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// metricsHandler serves the metrics in r and, if profile is set, profiles of the
-// process, from which an engineer sees where its processor time and memory go.
+// metricsHandler returns a handler that serves the metrics in r under /metrics and, if
+// profile is set, the pprof profiles of the process, such as its use of CPU time and
+// memory, under /debug/pprof/.
 func metricsHandler(r metrics.Registry, profile bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", exposition.Handler(r, "zinnia"))
@@ -173,7 +178,8 @@
 	return mux
 }
 
-// startServer serves h at address in group.
+// startServer listens at address, which is host:port, and serves h in a goroutine of
+// group until the returned server is shut down.
 func startServer(group *errgroup.Group, address string, h http.Handler) (*http.Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -189,30 +195,32 @@
 	return srv, nil
 }
 
-// reloadPeriod is how often the settings file is read: it may change without
-// a signal.
+// reloadPeriod is how often the settings file is read, since it may change without a
+// SIGHUP being sent.
 const reloadPeriod = time.Second
 
-// reload takes up changes of the settings file until ctx ends. Of what a
-// running process can change, that is where the store is; the rest is logged.
+// reload applies changes of the settings file at path until ctx is done, on SIGHUP and
+// every reloadPeriod. Only the address of the store changes in a running process; each
+// change of the file is logged. A file that cannot be read or is invalid is logged and
+// changes nothing.
 func reload(ctx context.Context, logger *log.Logger, path string, store *platform.Store) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	ticker := time.NewTicker(reloadPeriod)
 	defer ticker.Stop()
-	before, _ := os.ReadFile(path) // read and checked at start
+	before, _ := os.ReadFile(path) // was read and checked at start
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-hup:
-			logger.Info("signal to reload", "settings", path)
+			logger.Info("SIGHUP received, reading the settings file", "settings", path)
 		case <-ticker.C:
 		}
 		now, err := os.ReadFile(path)
 		if err != nil {
-			logger.Warn("settings not read, the ones in force stay", "err", err)
+			logger.Warn("settings file not readable, the settings in force are kept", "err", err)
 			continue
 		}
 		if bytes.Equal(now, before) {
@@ -221,7 +229,7 @@
 		before = now
 		s, err := platform.ParseSettings(bytes.NewReader(now))
 		if err != nil {
-			logger.Error("settings not taken, the ones in force stay", "err", err)
+			logger.Error("settings file invalid, the settings in force are kept", "err", err)
 			continue
 		}
 		store.SetAddress(s.StoreAddress)
@@ -230,9 +238,10 @@
 }
 
 const (
-	// headerTimeout bounds how long a caller may take to send a request's header.
+	// headerTimeout limits how long a caller may take to send a request's header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a caller's idle connection is kept: longer than
-	// callers keep theirs, so that none is closed as a request is on its way.
+	// idleTimeout is how long a caller's idle connection is kept open. It is longer
+	// than callers keep idle connections, so that the server does not close one
+	// while a request is being sent on it.
 	idleTimeout = 2 * time.Minute
 )
--- a/cmd/zinnialadder/node_test.go
+++ b/cmd/zinnialadder/node_test.go
@@ -13,8 +13,8 @@
 	"github.com/zinnialadder/zinnialadder/platform/sitetest"
 )
 
-// A node serves profiles of its process beside its metrics if it is told to, and only
-// then.
+// An instance serves profiles of its process at the address of its metrics with --profile
+// and not without it.
 func TestNodeProfile(t *testing.T) {
 	p := newProcesses(t)
 	store := sitetest.NewStore().Serve(t, "a")
@@ -35,14 +35,14 @@
 		}
 		t.Cleanup(func() {
 			_ = cmd.Process.Kill()
-			_ = cmd.Wait() // it says that it was killed
+			_ = cmd.Wait() // its error is that the process was killed
 		})
 		eventually(t, 10*time.Second, "metrics", func() bool {
-			status, err := ask("http://"+metrics+"/metrics", nil, nil)
+			status, err := sendJSON("http://"+metrics+"/metrics", nil, nil)
 			return err == nil && status == http.StatusOK
 		})
-		if status, err := ask("http://"+metrics+"/debug/pprof/", nil, nil); err != nil || status != want {
-			t.Errorf("%s: status %d, %v, want %d", flag, status, err, want)
+		if status, err := sendJSON("http://"+metrics+"/debug/pprof/", nil, nil); err != nil || status != want {
+			t.Errorf("%s: GET /debug/pprof/: status %d, error %v, want %d", flag, status, err, want)
 		}
 	}
 }
--- a/cmd/zinnialadder/peers.go
+++ b/cmd/zinnialadder/peers.go
@@ -12,17 +12,18 @@
 	"github.com/zinnialadder/zinnialadder/platform"
 )
 
-// listenForPeers returns a node's store, by whatever way reaches it, with its
-// counters and its line for each change of the way.
+// listenForPeers listens for other instances at address and returns the store, which is
+// reached by direct or through another instance. Calls through other instances are
+// counted in registry, and each change of the access path is logged.
 func listenForPeers(group *errgroup.Group, address string, direct *platform.Store, logger *log.Logger, registry metrics.Registry) (*storepath.Links, error) {
 	return storepath.Listen(storepath.LinksConfig{Listen: address, Direct: direct, Ping: direct.Ping,
 		Go: func(f func() error) { group.Go(f) },
-		OnChange: func(from, to storepath.AccessPath, why string) {
-			logger.Info("way to the store", "from", from, "to", to, "why", why)
+		OnChange: func(from, to storepath.AccessPath, reason string) {
+			logger.Info("access path to the store changed", "from", from, "to", to, "why", reason)
 		},
-		OnCall: func(w storepath.AccessPath, err error) {
-			if w.Kind != storepath.ThroughPeer {
-				return // the store's own client counts it
+		OnCall: func(path storepath.AccessPath, err error) {
+			if path.Kind != storepath.ThroughPeer {
+				return // counted by direct.OnCall
 			}
 			metrics.GetOrRegisterCounter("store.through_peer", registry).Inc(1)
 			if errors.Is(err, pkgplatform.ErrUnavailable) {
--- a/cmd/zinnialadder/process_test.go
+++ b/cmd/zinnialadder/process_test.go
@@ -24,12 +24,12 @@
 	"github.com/zinnialadder/zinnialadder/pkg/trainer/trainertest"
 )
 
-// processes starts the program's roles as processes of their own.
+// processes runs the commands of the program as separate processes.
 type processes struct {
 	t     *testing.T
 	dir   string
 	bin   string
-	ports int // tried so far
+	ports int // number of ports tried by addr
 }
 
 func newProcesses(t *testing.T) *processes {
@@ -41,11 +41,11 @@
 	return p
 }
 
-// firstPort is below the ports that systems give to outgoing connections, so
-// that no connection takes an address before its process listens on it.
+// firstPort is the first port that addr tries. It is below the ephemeral ports, so that
+// no outgoing connection takes an address before its process listens on it.
 const firstPort = 27800
 
-// addr returns a loopback address that is free and not returned before.
+// addr returns a loopback host:port that is free and has not been returned before.
 func (p *processes) addr() string {
 	for ; p.ports < 1000; p.ports++ {
 		a := fmt.Sprintf("127.0.0.1:%d", firstPort+p.ports)
@@ -61,7 +61,8 @@
 	return ""
 }
 
-// start starts a role with the given settings; it is killed when the test ends.
+// start runs the command role with the given settings. The process is killed when the
+// test ends.
 func (p *processes) start(role string, settings map[string]any) *os.Process {
 	settings["log_level"] = "warn"
 	b, _ := json.Marshal(settings)
@@ -81,18 +82,19 @@
 	return cmd.Process
 }
 
-// eventually polls cond until it holds or within has passed.
+// eventually polls cond until it returns true, and fails the test after within.
 func eventually(t *testing.T, within time.Duration, what string, cond func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(within); !cond(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", within, what)
+			t.Fatalf("no success within %v: %s", within, what)
 		}
 	}
 }
 
-// ask sends v (nil for a GET) as JSON and decodes the answer into out.
-func ask(url string, v, out any) (int, error) {
+// sendJSON posts v as JSON, or sends a GET if v is nil, and decodes a 2xx response into out
+// unless it is nil. It returns the status.
+func sendJSON(url string, v, out any) (int, error) {
 	client := http.Client{Timeout: 3 * time.Second}
 	var resp *http.Response
 	var err error
@@ -113,12 +115,12 @@
 	return resp.StatusCode, json.Unmarshal(body, out)
 }
 
-// A step of 40 groups runs while one of four entry instances is killed, one
-// is stopped for longer than every lease and then wakes, the platform loses
-// replies and goes down, and a new version is rolled out to engines of both
-// kinds: the step completes, each sample is learned once, in
-// whole groups, every label is true and fresh, and every engine ends at the
-// version named.
+// A step of 40 groups runs while one of four entry instances is killed, one is
+// suspended for longer than every lease and then continues, the platform drops
+// responses and becomes unavailable, and a new weight version is rolled out to engines
+// that check fencing tokens and engines that do not. The step must complete, the
+// trainer must hold every sample, with the same contents each time it was sent and with
+// no weight versions but 1 and 2, and every engine must load the target version.
 func TestStepSurvivesKillPauseAndOutage(t *testing.T) {
 	p := newProcesses(t)
 	plat := p.addr()
@@ -143,63 +145,63 @@
 			"peer_listen": p.addr(), "platform": "http://" + plat, "refresh": "200ms", "lease_ttl": "1s", "shard_groups": 5,
 			"shard_lease_ttl": "1s", "rollout_lease_ttl": "1s"}))
 	}
-	eventually(t, 10*time.Second, "the platform up", func() bool { _, err := table.Scan(context.Background(), "x"); return err == nil })
+	eventually(t, 10*time.Second, "the platform serves", func() bool { _, err := table.Scan(context.Background(), "x"); return err == nil })
 	f := catalogue.File{Pools: []catalogue.Pool{pool}, Entries: []catalogue.Entry{{Name: "drafts", Owner: "minho", Class: catalogue.Training,
 		Pool: "assistant-pool", Limits: catalogue.Limits{MaxInFlight: 16, MaxTokens: 64}, Trainer: tr, MaxVersionLag: 1}}}
 	if _, err := catalogue.Sync(context.Background(), table, f, "test", time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	name := func(v uint64) bool {
-		status, err := ask("http://"+addrs[3]+"/v1/weights", entry.WeightsRequest{Customer: "minho", Entry: "drafts", Version: v}, nil)
+	setTarget := func(v uint64) bool {
+		status, err := sendJSON("http://"+addrs[3]+"/v1/weights", entry.WeightsRequest{Customer: "minho", Entry: "drafts", Version: v}, nil)
 		return err == nil && status == http.StatusNoContent
 	}
-	eventually(t, 10*time.Second, "version 1 named", func() bool { return name(1) })
+	eventually(t, 10*time.Second, "target version 1 set", func() bool { return setTarget(1) })
 
 	const groups, size = 40, 4
 	spec := step.Spec{Customer: "minho", Entry: "drafts", ID: "s1", Desired: groups, Deadline: time.Now().Add(time.Minute).UTC()}
 	for i := range groups {
 		spec.Groups = append(spec.Groups, step.Group{ID: fmt.Sprint("g", i), Prompt: fmt.Sprint("prompt ", i), Size: size, MaxTokens: 40})
 	}
-	if status, err := ask("http://"+addrs[3]+"/v1/steps", spec, nil); err != nil || status != http.StatusAccepted {
-		t.Fatalf("step answered %d %v", status, err)
+	if status, err := sendJSON("http://"+addrs[3]+"/v1/steps", spec, nil); err != nil || status != http.StatusAccepted {
+		t.Fatalf("POST /v1/steps: status %d, error %v, want %d", status, err, http.StatusAccepted)
 	}
 	var got []trainertest.ReceivedSample
 	received := func() int {
 		got = nil
-		if _, err := ask("http://"+tr+"/v1/received", nil, &got); err != nil {
+		if _, err := sendJSON("http://"+tr+"/v1/received", nil, &got); err != nil {
 			return 0
 		}
 		return len(got)
 	}
-	eventually(t, 20*time.Second, "the step under way", func() bool { return received() >= 4*size })
+	eventually(t, 20*time.Second, "the samples of 4 groups at the trainer", func() bool { return received() >= 4*size })
 	_ = procs[0].Kill()
 	_ = procs[1].Signal(syscall.SIGSTOP)
-	fault := func(f platformtest.Faults) {
-		if _, err := ask("http://"+plat+"/v1/faults", f, nil); err != nil {
+	setFaults := func(f platformtest.Faults) {
+		if _, err := sendJSON("http://"+plat+"/v1/faults", f, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	fault(platformtest.Faults{LoseReplies: 4, LosePrefix: "delivery/"})
-	eventually(t, 10*time.Second, "version 2 named", func() bool { return name(2) })
-	fault(platformtest.Faults{Down: true})
+	setFaults(platformtest.Faults{LoseReplies: 4, LosePrefix: "delivery/"})
+	eventually(t, 10*time.Second, "target version 2 set", func() bool { return setTarget(2) })
+	setFaults(platformtest.Faults{Down: true})
 	time.Sleep(time.Second)
-	fault(platformtest.Faults{})
-	time.Sleep(2 * time.Second) // the stopped instance's leases have lapsed, and others hold them
+	setFaults(platformtest.Faults{})
+	time.Sleep(2 * time.Second) // the leases of the suspended instance have expired, and other instances hold them
 	_ = procs[1].Signal(syscall.SIGCONT)
 
 	eventually(t, 50*time.Second, "the step complete", func() bool {
 		var st entry.StepStatus
-		_, err := ask("http://"+addrs[2]+"/v1/steps/minho/drafts/s1", nil, &st)
+		_, err := sendJSON("http://"+addrs[2]+"/v1/steps/minho/drafts/s1", nil, &st)
 		return err == nil && st.Closed == step.Complete
 	})
 	eventually(t, 30*time.Second, "every sample at the trainer", func() bool { return received() == groups*size })
 	for _, r := range got {
-		if r.Altered { // after a kill the same sample may be sent again, not another
-			t.Errorf("sample %s sent again with other contents", r.Sample.ID)
+		if r.Altered { // after a kill a sample may be sent again, with the same contents
+			t.Errorf("sample %s was sent again with other contents, want the same", r.Sample.ID)
 		}
 		for _, v := range r.Sample.WeightVersions {
 			if v != 1 && v != 2 {
-				t.Errorf("sample %s labelled %v", r.Sample.ID, r.Sample.WeightVersions)
+				t.Errorf("sample %s has weight versions %v, want only 1 and 2", r.Sample.ID, r.Sample.WeightVersions)
 			}
 		}
 	}
--- a/cmd/zinnialadder/release.go
+++ b/cmd/zinnialadder/release.go
@@ -10,12 +10,12 @@
 	"github.com/zinnialadder/zinnialadder/platform"
 )
 
-// releaseCmd returns the command that lets a request out of quarantine.
+// releaseCmd returns the command that lifts the quarantine of a content fingerprint.
 func releaseCmd() *cobra.Command {
 	var from storeFlags
 	cmd := &cobra.Command{
 		Use:   "release CONTENT",
-		Short: "Let a request out of quarantine that crashed upstreams, as after they were mended",
+		Short: "Lift the quarantine of a content fingerprint, for example after the upstreams that it crashed were fixed",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			content, err := quarantine.ParseFingerprint(args[0])
@@ -31,9 +31,9 @@
 				return fmt.Errorf("release %s: %w", content, err)
 			}
 			if n == 0 {
-				return fmt.Errorf("release %s: nothing is known of it", content)
+				return fmt.Errorf("release %s: the store has no facts of this content", content)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s is released, %d facts of it are deleted\n", content, n)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s released, %d facts deleted\n", content, n)
 			return nil
 		},
 	}
--- a/cmd/zinnialadder/roles.go
+++ b/cmd/zinnialadder/roles.go
@@ -16,6 +16,7 @@
 	"github.com/zinnialadder/zinnialadder/pkg/trainer/trainertest"
 )
 
+// entryCmd returns the command that runs an entry instance.
 func entryCmd() *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
@@ -39,6 +40,7 @@
 	return cmd
 }
 
+// entryConfig returns the configuration of the entry instance with settings s.
 func entryConfig(s settings.Entry) entry.Config {
 	return entry.Config{
 		ID: s.ID, DataCentre: s.DataCentre, Listen: s.Listen, Advertise: s.Advertise, PeerListen: s.PeerListen,
@@ -63,8 +65,9 @@
 	}
 }
 
-// standIn returns the command that serves a stand-in with settings S.
-func standIn[S any, P interface {
+// fakeCmd returns the command role, which runs a fake server with settings S until it is
+// signalled to stop. common returns the common fields of the settings.
+func fakeCmd[S any, P interface {
 	*S
 	settings.Checker
 }](role, short string, common func(S) settings.Common, handler func(S) http.Handler) *cobra.Command {
@@ -88,27 +91,28 @@
 	return cmd
 }
 
-// plain returns the command of a stand-in with nothing but common settings.
-func plain(role, short string, handler func() http.Handler) *cobra.Command {
-	return standIn(role, short, func(s settings.CommonOnly) settings.Common { return s.Common },
+// commonFakeCmd returns the command role, which runs a fake server whose settings are
+// the common fields only.
+func commonFakeCmd(role, short string, handler func() http.Handler) *cobra.Command {
+	return fakeCmd(role, short, func(s settings.CommonOnly) settings.Common { return s.Common },
 		func(settings.CommonOnly) http.Handler { return handler() })
 }
 
 func platformCmd() *cobra.Command {
-	return plain("platform", "Run the stand-in for the platform's table and object store",
+	return commonFakeCmd("platform", "Run the fake of the platform's table and object store",
 		func() http.Handler { return platformtest.New().Handler() })
 }
 
 func trainerCmd() *cobra.Command {
-	return plain("trainer", "Run the trainer stand-in", func() http.Handler { return new(trainertest.Server).Handler() })
+	return commonFakeCmd("trainer", "Run the fake trainer", func() http.Handler { return new(trainertest.Server).Handler() })
 }
 
 func serviceCmd() *cobra.Command {
-	return plain("service", "Run the plain service stand-in", func() http.Handler { return new(servicetest.Server).Handler() })
+	return commonFakeCmd("service", "Run the fake plain service", func() http.Handler { return new(servicetest.Server).Handler() })
 }
 
 func engineCmd() *cobra.Command {
-	return standIn("engine", "Run the model engine stand-in", func(s settings.Engine) settings.Common { return s.Common },
+	return fakeCmd("engine", "Run the fake model engine", func(s settings.Engine) settings.Common { return s.Common },
 		func(s settings.Engine) http.Handler {
 			return enginetest.New(enginetest.Config{Name: s.Name, Slots: s.Slots, TokenInterval: time.Duration(s.TokenInterval),
 				WeightVersion: s.WeightVersion, ChecksFencing: s.ChecksFencing}).Handler()
--- a/cmd/zinnialadder/soak.go
+++ b/cmd/zinnialadder/soak.go
@@ -11,12 +11,13 @@
 	"github.com/zinnialadder/zinnialadder/platform/soak"
 )
 
+// soakCmd returns the command that runs soak tests.
 func soakCmd() *cobra.Command {
 	var cfg soak.Config
 	var seeds int
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Run instances as processes on loopback under random faults and check their promises",
+		Short: "Run instances as processes on loopback under random faults and check invariants",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			program, err := os.Executable()
@@ -30,17 +31,18 @@
 		},
 	}
 	f := cmd.Flags()
-	f.Uint64Var(&cfg.Seed, "seed", uint64(time.Now().Unix()), "seed of the faults; by default a fresh one")
-	f.IntVar(&seeds, "seeds", 1, "how many seeds to run, one after the other")
+	f.Uint64Var(&cfg.Seed, "seed", uint64(time.Now().Unix()), "seed of the faults; by default the current Unix time in seconds")
+	f.IntVar(&seeds, "seeds", 1, "number of seeds to run, one after the other")
 	f.DurationVar(&cfg.Duration, "duration", 20*time.Second, "how long faults are injected")
-	f.DurationVar(&cfg.RecoveryTime, "calm", 4*time.Second, "how long the site is left alone after that")
-	f.IntVar(&cfg.Instances, "nodes", 4, "instances, each a process")
-	f.IntVar(&cfg.Engines, "engines", 4, "model engines")
-	f.IntVar(&cfg.Services, "services", 3, "plain services")
+	f.DurationVar(&cfg.RecoveryTime, "calm", 4*time.Second, "time without faults after that, in which all accepted requests must be served")
+	f.IntVar(&cfg.Instances, "nodes", 4, "number of instances, each a process")
+	f.IntVar(&cfg.Engines, "engines", 4, "number of model engines")
+	f.IntVar(&cfg.Services, "services", 3, "number of plain services")
 	return cmd
 }
 
-// runSoak runs seeds until one breaks a promise.
+// runSoak runs as many seeds as given, from cfg.Seed on. It ends at the first run that
+// fails or when ctx is done.
 func runSoak(ctx context.Context, cmd *cobra.Command, cfg soak.Config, seeds int) error {
 	for range seeds {
 		report, err := soak.Run(ctx, cfg)
@@ -49,7 +51,7 @@
 			return err
 		}
 		if ctx.Err() != nil {
-			return fmt.Errorf("soak: stopped: %w", ctx.Err())
+			return fmt.Errorf("soak: interrupted: %w", ctx.Err())
 		}
 		cfg.Seed++
 	}
--- a/cmd/zinnialadder/storeview.go
+++ b/cmd/zinnialadder/storeview.go
@@ -13,33 +13,34 @@
 	"github.com/zinnialadder/zinnialadder/platform"
 )
 
-// storeView is a command that prints a part of what the store says, once or again and
-// again.
+// storeView is a command that prints a view of the state in the store, once or
+// periodically.
 type storeView[T interface{ Write(io.Writer) error }] struct {
 	tables []snapshot.Table
-	of     func(snapshot.State) T
+	of     func(snapshot.State) T // returns the view of a state
 
 	from   storeFlags
 	asJSON bool
-	watch  time.Duration
+	watch  time.Duration // period; 0 to print once
 }
 
-// add makes cmd print the view.
+// add adds the flags to cmd and makes it print the view.
 func (v *storeView[T]) add(cmd *cobra.Command) {
 	v.from.add(cmd)
 	jsonFlag(cmd, &v.asJSON)
-	cmd.Flags().DurationVar(&v.watch, "watch", 0, "print again after each of this time, such as 2s; 0 for once")
+	cmd.Flags().DurationVar(&v.watch, "watch", 0, "time between two prints, such as 2s; 0 to print once")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error { return v.run(cmd) }
 }
 
+// run reads the store and prints the view, periodically if --watch is given.
 func (v *storeView[T]) run(cmd *cobra.Command) error {
 	if v.watch < 0 {
-		return fmt.Errorf("--watch %v: give a time above zero", v.watch)
+		return fmt.Errorf("--watch %v: must not be negative", v.watch)
 	}
 	take := func() (snapshot.State, error) {
 		snap, err := v.from.take(cmd, v.tables, false)
 		if err != nil {
-			return snapshot.State{}, fmt.Errorf("the store was not read: %w", err)
+			return snapshot.State{}, fmt.Errorf("cannot read the store: %w", err)
 		}
 		return snap.State(platform.Decoder()), nil
 	}
@@ -59,10 +60,10 @@
 	return show(st)
 }
 
-// watchStore shows what take returns again and again until ctx ends. While the
-// store cannot be read it writes so to errs, with the age of what was shown last.
+// watchStore calls take and show every period until ctx is done. When take fails it
+// writes the error to errs, with the time of the state that was shown last.
 func watchStore(ctx context.Context, errs io.Writer, period time.Duration, take func() (snapshot.State, error), show func(snapshot.State) error) error {
-	shown := "nothing was shown before"
+	shown := "no state was shown before"
 	for {
 		st, err := take()
 		switch {
@@ -74,7 +75,7 @@
 			if err := show(st); err != nil {
 				return err
 			}
-			shown = "the last shown is as of " + st.TakenAt.UTC().Format(time.TimeOnly)
+			shown = "the last state shown was read at " + st.TakenAt.UTC().Format(time.TimeOnly)
 		}
 		if !clock.Sleep(ctx, period) {
 			return nil
--- a/cmd/zinnialadder/versions.go
+++ b/cmd/zinnialadder/versions.go
@@ -7,14 +7,15 @@
 	"github.com/zinnialadder/zinnialadder/platform"
 )
 
-// versionsCmd returns the command that shows what each data centre serves.
+// versionsCmd returns the command that prints the configuration and the weight versions
+// that each data centre serves.
 func versionsCmd() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "versions",
-		Short: "Print which configuration and which weight versions each data centre serves",
-		Long: "Print which configuration is in force at the instances of each data centre, which of them are\n" +
-			"behind the operators', and which weight versions its engines hold, against those that are named\n" +
-			"and those that open submissions ask for. With --watch it is printed again and again.",
+		Short: "Print the configuration and the weight versions that each data centre serves",
+		Long: "Print the configuration in force at the instances of each data centre, the instances that do not\n" +
+			"have the newest one, and the weight versions that the engines hold, with the target versions and\n" +
+			"those that open submissions require. With --watch it is printed periodically.",
 		Args: cobra.NoArgs,
 	}
 	view := storeView[snapshot.Versions]{tables: snapshot.VersionTables(platform.Decoder()), of: snapshot.State.ServedVersions}
