--- a/internal/settings/line.go
+++ b/internal/settings/line.go
@@ -8,9 +8,9 @@
 	"regexp"
 )
 
-// LineError is a fault at a line of a settings file.
+// LineError is an error at a line of a settings file.
 type LineError struct {
-	Line int // from 1
+	Line int // 1 is the first
 	Err  error
 }
 
@@ -18,17 +18,18 @@
 
 func (e *LineError) Unwrap() error { return e.Err }
 
-// at returns err as one at an offset of file, or as it is if the offset is negative.
-func at(file []byte, offset int, err error) error {
+// withLine returns err as a *LineError for the line at offset in file, or err itself if
+// offset is negative.
+func withLine(file []byte, offset int, err error) error {
 	if offset < 0 {
 		return err
 	}
 	return &LineError{Line: bytes.Count(file[:min(offset, len(file))], []byte("\n")) + 1, Err: err}
 }
 
-// valueError is a fault of a value that reads itself.
+// valueError is an error that the UnmarshalJSON method of a value returns.
 type valueError struct {
-	value []byte // as it stands in the file
+	value []byte // JSON text of the value in the file
 	err   error
 }
 
@@ -36,11 +37,12 @@
 
 func (e *valueError) Unwrap() error { return e.err }
 
-// unknownField is what encoding/json says of a field that is not known.
+// unknownField matches the error of encoding/json for an unknown field.
 var unknownField = regexp.MustCompile(`unknown field ("[^"]*")`)
 
-// offsetOf returns where in file dec found err.
-func offsetOf(file []byte, dec *json.Decoder, err error) int {
+// errorOffset returns the offset in file of the cause of err, which dec returned, or a
+// negative value if it was not found.
+func errorOffset(file []byte, dec *json.Decoder, err error) int {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	var value *valueError
@@ -58,15 +60,15 @@
 	return int(dec.InputOffset())
 }
 
-// firstWord is the field that a check's error begins with.
-var firstWord = regexp.MustCompile(`^[a-z_]+`)
+// leadingField matches the field name that an error of a Check method begins with.
+var leadingField = regexp.MustCompile(`^[a-z_]+`)
 
-// fieldOf returns where in file the field stands that a check's error names
-// first, or -1.
-func fieldOf(file []byte, err error) int {
-	word := firstWord.FindString(err.Error())
-	if word == "" {
+// fieldOffset returns the offset in file of the field name that err, an error of a Check
+// method, begins with, or -1 if it was not found.
+func fieldOffset(file []byte, err error) int {
+	field := leadingField.FindString(err.Error())
+	if field == "" {
 		return -1
 	}
-	return bytes.Index(file, []byte(`"`+word+`"`))
+	return bytes.Index(file, []byte(`"`+field+`"`))
 }
--- a/internal/settings/roles.go
+++ b/internal/settings/roles.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// Common holds the fields every program has.
+// Common holds the settings that all programs have.
 type Common struct {
 	Listen     string `json:"listen"`      // host:port to serve on
-	DataCentre string `json:"data_centre"` // where this process runs
+	DataCentre string `json:"data_centre"` // data centre of the process; one of DataCentres
 	LogLevel   string `json:"log_level"`   // debug, info, warn or error; default info
 }
 
-// Check reports the first problem with c.
+// Check returns an error for the first invalid field of c.
 func (c Common) Check() error {
 	if err := CheckAddress("listen", c.Listen); err != nil {
 		return err
@@ -27,32 +27,33 @@
 	return fmt.Errorf("log_level: %q: want debug, info, warn or error", c.LogLevel)
 }
 
-// Entry is the settings of an entry instance.
+// Entry holds the settings of an entry instance. Optional fields that are
+// left out get the defaults of entry.Config.
 type Entry struct {
 	Common
 	ID              string   `json:"id"`
-	Advertise       string   `json:"advertise"`   // address callers use; default listen
-	PeerListen      string   `json:"peer_listen"` // peer protocol; empty for none
-	Platform        string   `json:"platform"`    // platform base URL, such as "http://127.0.0.1:7000"
-	Refresh         Duration `json:"refresh"`
-	LeaseTTL        Duration `json:"lease_ttl"`
-	UpstreamTimeout Duration `json:"upstream_timeout"`
-	RouteTTL        Duration `json:"route_ttl"`
-	PeerAdvertise   string   `json:"peer_advertise"` // address other instances use; default peer_listen
+	Advertise       string   `json:"advertise"`        // host:port that callers connect to; default listen
+	PeerListen      string   `json:"peer_listen"`      // host:port of the protocol between instances; empty for none
+	Platform        string   `json:"platform"`         // platform base URL, such as "http://127.0.0.1:7000"
+	Refresh         Duration `json:"refresh"`          // period of catalogue and membership reads
+	LeaseTTL        Duration `json:"lease_ttl"`        // of the instance's membership
+	UpstreamTimeout Duration `json:"upstream_timeout"` // of upstream requests without a caller deadline
+	RouteTTL        Duration `json:"route_ttl"`        // how long callers may cache a route
+	PeerAdvertise   string   `json:"peer_advertise"`   // host:port that other instances connect to; default peer_listen
 	PeerKeepAlive   Duration `json:"peer_keep_alive"`
-	IdleTimeout     Duration `json:"idle_timeout"` // longest silence of an engine's stream
-	MaxInFlight     int      `json:"max_in_flight"`
-	RolloutLeaseTTL Duration `json:"rollout_lease_ttl"`
-	OrderTimeout    Duration `json:"order_timeout"`
-	ReportLag       Duration `json:"report_lag"`
-	ShardGroups     int      `json:"shard_groups"`
-	ShardLeaseTTL   Duration `json:"shard_lease_ttl"`
-	StepRetention   Duration `json:"step_retention"`
-	HedgeFactor     float64  `json:"hedge_factor"` // times the median; negative: never hedge
-	SlowFrom        float64  `json:"slow_from"`    // times the median; negative: no engine is slow
+	IdleTimeout     Duration `json:"idle_timeout"`      // time without data after which an engine's stream is given up
+	MaxInFlight     int      `json:"max_in_flight"`     // requests, over all entries
+	RolloutLeaseTTL Duration `json:"rollout_lease_ttl"` // of the lease for load orders to a pool's engines
+	OrderTimeout    Duration `json:"order_timeout"`     // of a load order
+	ReportLag       Duration `json:"report_lag"`        // longest delay of load reports
+	ShardGroups     int      `json:"shard_groups"`      // groups of a step that one instance runs
+	ShardLeaseTTL   Duration `json:"shard_lease_ttl"`   // of the lease of a step's shard
+	StepRetention   Duration `json:"step_retention"`    // how long the status of a closed step is kept
+	HedgeFactor     float64  `json:"hedge_factor"`      // multiple of the median time; negative: never hedge
+	SlowFrom        float64  `json:"slow_from"`         // multiple of the median time; negative: no engine counts as slow
 }
 
-// Check reports the first problem with e.
+// Check returns an error for the first invalid field of e.
 func (e Entry) Check() error {
 	if err := e.Common.Check(); err != nil {
 		return err
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// Engine is the settings of the engine stand-in.
+// Engine holds the settings of the fake engine.
 type Engine struct {
 	Common
 	Name          string   `json:"name"`
@@ -106,7 +107,7 @@
 	ChecksFencing bool     `json:"checks_fencing"`
 }
 
-// Check reports the first problem with e.
+// Check returns an error for the first invalid field of e.
 func (e Engine) Check() error {
 	if err := e.Common.Check(); err != nil {
 		return err
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// CommonOnly is the settings of a stand-in with nothing but the common fields:
-// the platform, the trainer and the plain service.
+// CommonOnly holds the settings of the fake platform, trainer and plain service, which
+// have the common fields only.
 type CommonOnly struct {
 	Common
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings loads the settings files of zinnialadder's programs:
-// JSON with comments, with unknown fields refused and every field checked
-// before a program starts.
+// Package settings loads the settings files of zinnialadder's programs. They are JSON
+// with comments; unknown fields and invalid values are errors.
 package settings
 
 import (
@@ -15,10 +14,11 @@
 	"github.com/tailscale/hujson"
 )
 
-// Duration is a time.Duration written as a string such as "1.5s".
+// Duration is a time.Duration that is not negative and is encoded in JSON as a string
+// such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalJSON reads a duration string.
+// UnmarshalJSON decodes a duration string.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -35,62 +35,65 @@
 	return nil
 }
 
-// MarshalJSON writes d as a duration string.
+// MarshalJSON encodes d as a duration string.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// Checker is a settings value that can check itself.
+// Checker is a settings value that can check its fields.
 type Checker interface {
+	// Check returns an error for the first invalid field. Parse finds the line of an
+	// error that begins with the name of a field in the file.
 	Check() error
 }
 
-// Load reads the file at path into v and checks it.
+// Load reads the file at path into v and checks it. Its errors give the path and, if it
+// is known, the line.
 func Load(path string, v Checker) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if err := Parse(b, v); err != nil {
-		var at *LineError
-		if errors.As(err, &at) {
-			return fmt.Errorf("settings %s:%d: %w", path, at.Line, at.Err)
+		var le *LineError
+		if errors.As(err, &le) {
+			return fmt.Errorf("settings %s:%d: %w", path, le.Line, le.Err)
 		}
 		return fmt.Errorf("settings %s: %w", path, err)
 	}
 	return nil
 }
 
-// Parse reads JSON with comments from b into v and checks it. Its errors are
-// *LineError where the line of the fault is known.
+// Parse decodes b, which is JSON with comments, into v and checks it. Errors are of type
+// *LineError if the line is known, except syntax errors, whose text has line and column.
 func Parse(b []byte, v Checker) error {
-	// hujson needs a line comment to end in a newline, and files do not
-	// always end in one.
+	// hujson requires a newline after a line comment, which the last line of a file
+	// may lack.
 	std, err := hujson.Standardize(append(bytes.Clone(b), '\n'))
 	if err != nil {
-		return fmt.Errorf("not JSON with comments: %w", err) // tells line and column
+		return fmt.Errorf("not JSON with comments: %w", err) // err has line and column
 	}
 	dec := json.NewDecoder(bytes.NewReader(std))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
-		return at(std, offsetOf(std, dec, err), err)
+		return withLine(std, errorOffset(std, dec, err), err)
 	}
 	if dec.More() {
-		return at(std, int(dec.InputOffset()), errors.New("trailing data after the settings object"))
+		return withLine(std, int(dec.InputOffset()), errors.New("trailing data after the settings object"))
 	}
 	if err := v.Check(); err != nil {
-		return at(std, fieldOf(std, err), err)
+		return withLine(std, fieldOffset(std, err), err)
 	}
 	return nil
 }
 
-// CheckAddress reports whether addr is a host:port with an IP number, as
-// the brief's processes talk by IP.
+// CheckAddress returns an error that begins with field unless addr is IP:port. Host names
+// are refused because processes connect to each other by IP address.
 func CheckAddress(field, addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return fmt.Errorf("%s: %q is not host:port: %w", field, addr, err)
 	}
 	if net.ParseIP(host) == nil {
-		return fmt.Errorf("%s: %q: host must be an IP number", field, addr)
+		return fmt.Errorf("%s: %q: host must be an IP address", field, addr)
 	}
 	if port == "" {
 		return fmt.Errorf("%s: %q has no port", field, addr)
@@ -98,7 +101,8 @@
 	return nil
 }
 
-// CheckDataCentre reports whether dc is one of the known data centres.
+// CheckDataCentre returns an error that begins with field unless dc is one of
+// DataCentres.
 func CheckDataCentre(field, dc string) error {
 	if dc == "" {
 		return fmt.Errorf("%s is required", field)
@@ -109,8 +113,8 @@
 	return nil
 }
 
-// DataCentres are the data centres of the brief's deployments, with the
-// site each belongs to. "loopback" serves tests and demos on one machine.
+// DataCentres maps each known data centre to the site that it belongs to. "loopback" is
+// for tests and demos on one machine.
 var DataCentres = map[string]string{
 	"braga-hall": "minho", "guimaraes-hall": "minho", "viana-hall": "minho",
 	"ba-hall-a": "rodokmen", "ba-hall-b": "rodokmen", "tt-hall": "rodokmen", "nr-hall": "rodokmen",
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,12 +10,12 @@
 	"github.com/zinnialadder/zinnialadder/pkg/catalogue"
 )
 
-// The shipped examples load and pass their checks.
+// The example files of the repository are valid.
 func TestExamplesLoad(t *testing.T) {
 	cats, _ := filepath.Glob("../../examples/*/catalogue.jsonc")
 	entries, _ := filepath.Glob("../../examples/*/entry-*.jsonc")
 	if len(cats) != 2 || len(entries) != 2 {
-		t.Fatalf("found %d catalogues and %d entry settings", len(cats), len(entries))
+		t.Fatalf("found %d catalogues and %d entry settings, want 2 and 2", len(cats), len(entries))
 	}
 	for _, p := range cats {
 		var f catalogue.File
@@ -31,8 +31,8 @@
 	}
 }
 
-// Bad settings stop a program with an error that names the field.
-func TestBadSettingsNameTheField(t *testing.T) {
+// The error for invalid settings names the field or its value.
+func TestErrorsNameField(t *testing.T) {
 	good := `"id": "a", "listen": "127.0.0.1:1", "data_centre": "braga-hall", "platform": "http://127.0.0.1:2"`
 	cases := map[string]string{
 		`{` + good + `, "colour": "red"}`: "colour",
@@ -52,8 +52,8 @@
 	}
 }
 
-// A fault is told with the line that it stands in, comments counted.
-func TestFaultsNameTheLine(t *testing.T) {
+// Errors have the line of their cause in the file, also after comments.
+func TestErrorsNameLine(t *testing.T) {
 	const good = "// an instance\n{\n  \"id\": \"e\",\n  /* where\n     to serve */\n  \"listen\": \"127.0.0.1:1\",\n  \"data_centre\": \"loopback\",\n  \"platform\": \"http://127.0.0.1:2\",\n  \"refresh\": \"1s\"\n}\n"
 	if err := settings.Parse([]byte(good), new(settings.Entry)); err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 	} {
 		err := settings.Parse([]byte(strings.Replace(good, c.old, c.new, 1)), new(settings.Entry))
 		if err == nil || !strings.Contains(err.Error(), fmt.Sprintf("line %d", c.line)) {
-			t.Errorf("%s: %v, want line %d", name, err, c.line)
+			t.Errorf("%s: got error %v, want one with line %d", name, err, c.line)
 		}
 	}
 }
