--- a/internal/deployfile/deployfile.go
+++ b/internal/deployfile/deployfile.go
@@ -1,5 +1,5 @@
-// Package deployfile reads and checks the file that tells the users' platform how
-// the system is built and on which machines its programs run.
+// Package deployfile reads and checks the deploy file, from which the users' platform
+// learns how to build the system and on which machines to run its programs.
 package deployfile
 
 import (
@@ -17,38 +17,40 @@
 
 // File is the content of a deploy file.
 type File struct {
-	Build    string          `toml:"build"`    // command of a shell, in the repository's root
-	Packages []string        `toml:"packages"` // that the build needs beside the language
+	Build    string          `toml:"build"`    // shell command, run in the root of the repository
+	Packages []string        `toml:"packages"` // that the build needs in addition to the Go toolchain
 	Roles    map[string]Role `toml:"roles"`
 }
 
 // Role is a program and the machines that run it.
 type Role struct {
-	Command      string            `toml:"run"` // the program and its arguments, split at spaces
-	MachineClass string            `toml:"on"`  // class of machines
-	Share        *float64          `toml:"share"`
-	Count        *int              `toml:"count"` // of machines in each data centre, in place of Share
+	Command      string            `toml:"run"`   // program and arguments, separated by spaces
+	MachineClass string            `toml:"on"`    // class of the machines that run the role
+	Share        *float64          `toml:"share"` // fraction of the machines of the class, over 0 and at most 1; excludes Count
+	Count        *int              `toml:"count"` // machines in each data centre; excludes Share
 	Apart        bool              `toml:"apart"`
 	Serves       []string          `toml:"serves"`
-	Metrics      string            `toml:"metrics"` // PORT/PATH
-	Template     string            `toml:"template"`
+	Metrics      string            `toml:"metrics"`  // PORT/PATH
+	Template     string            `toml:"template"` // path from the root of the repository; must exist
 	Env          map[string]string `toml:"env"`
 }
 
-// Interfaces that a role may serve.
+// The interfaces that a role may serve, by their names in the file: requests of callers,
+// operators' access to metrics, and the addresses that callers are to connect to.
 const (
 	servesCallers   = "edge"
 	servesControl   = "control"
 	servesAddresses = "registry"
 )
 
-// maxRolesOfClass is how many roles a machine runs at the most.
-const maxRolesOfClass = 2
+// maxRolesPerClass is the limit of roles on a machine, and so of roles that name the same
+// class of machines.
+const maxRolesPerClass = 2
 
-// Error is a fault of a file, at a line if Line is not 0.
+// Error is an error in a deploy file.
 type Error struct {
 	Path string
-	Line int
+	Line int // 1 is the first; 0 if the line is not known
 	Err  error
 }
 
@@ -61,8 +63,8 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Load reads and checks the file at path. Its errors are *Error, or of reading
-// the file.
+// Load reads and checks the file at path, which is in a directory under the root of the
+// repository. Errors of the content are of type *Error.
 func Load(path string) (File, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -72,7 +74,7 @@
 	if err != nil {
 		return File{}, &Error{Path: path, Line: line, Err: err}
 	}
-	root := filepath.Dir(filepath.Dir(path)) // of the repository
+	root := filepath.Dir(filepath.Dir(path))
 	for name, r := range f.Roles {
 		if r.Template == "" {
 			continue
@@ -84,7 +86,8 @@
 	return f, nil
 }
 
-// parse decodes and checks b and returns the line of the error, 0 if it is none's.
+// parse decodes and checks b. With an error it returns its line, or 0 if the line is not
+// known.
 func parse(b []byte) (f File, line int, err error) {
 	err = toml.NewDecoder(strings.NewReader(string(b))).DisallowUnknownFields().Decode(&f)
 	var strict *toml.StrictMissingError
@@ -105,7 +108,7 @@
 	return f, 0, nil
 }
 
-// lineOf returns the line of b that text stands in, 0 for none.
+// lineOf returns the line in which text first occurs in b, or 0 if it does not occur.
 func lineOf(b []byte, text string) int {
 	before, _, ok := strings.Cut(string(b), text)
 	if !ok {
@@ -114,7 +117,8 @@
 	return strings.Count(before, "\n") + 1
 }
 
-// check returns the first fault of f, and the role that it is in, if any.
+// check returns an error for the first invalid value of f, and the name of its role or ""
+// if it is in none.
 func (f File) check() (role string, err error) {
 	if strings.TrimSpace(f.Build) == "" {
 		return "", errors.New("build: a command is required")
@@ -122,31 +126,32 @@
 	if len(f.Roles) == 0 {
 		return "", errors.New("roles: at least one is required")
 	}
-	ofClass := map[string]int{}
-	served := map[string]string{} // by class and interface
+	rolesOfClass := map[string]int{}
+	served := map[string]string{} // role by class and interface
 	for _, name := range slices.Sorted(maps.Keys(f.Roles)) {
 		r := f.Roles[name]
 		if err := r.check(); err != nil {
 			return name, fmt.Errorf("role %s: %w", name, err)
 		}
-		if ofClass[r.MachineClass]++; ofClass[r.MachineClass] > maxRolesOfClass {
-			return name, fmt.Errorf("role %s: machines of class %s run %d roles at the most", name, r.MachineClass, maxRolesOfClass)
+		if rolesOfClass[r.MachineClass]++; rolesOfClass[r.MachineClass] > maxRolesPerClass {
+			return name, fmt.Errorf("role %s: class %s has more than %d roles", name, r.MachineClass, maxRolesPerClass)
 		}
 		for _, s := range r.Serves {
 			if other := served[r.MachineClass+"/"+s]; other != "" {
-				return name, fmt.Errorf("role %s: role %s serves %s on class %s already", name, other, s, r.MachineClass)
+				return name, fmt.Errorf("role %s: role %s already serves %s on class %s", name, other, s, r.MachineClass)
 			}
 			served[r.MachineClass+"/"+s] = name
 		}
 	}
 	for _, s := range []string{servesCallers, servesAddresses} {
 		if !slices.ContainsFunc(slices.Collect(maps.Values(f.Roles)), func(r Role) bool { return slices.Contains(r.Serves, s) }) {
-			return "", fmt.Errorf("roles: none serves %s", s)
+			return "", fmt.Errorf("roles: no role serves %s", s)
 		}
 	}
 	return "", nil
 }
 
+// check returns an error for the first invalid value of r.
 func (r Role) check() error {
 	switch {
 	case strings.TrimSpace(r.Command) == "":
--- a/internal/deployfile/deployfile_test.go
+++ b/internal/deployfile/deployfile_test.go
@@ -20,6 +20,7 @@
 metrics = "9464/metrics"
 `
 
+// load returns the error of Load for a file with this content.
 func load(t *testing.T, content string) error {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "system.toml")
@@ -30,16 +31,16 @@
 	return err
 }
 
-// The repository's own file is right.
-func TestOwnFile(t *testing.T) {
+// The deploy file of the repository is valid.
+func TestRepositoryFile(t *testing.T) {
 	f, err := deployfile.Load("../../deploy/system.toml")
 	if err != nil || len(f.Roles) == 0 {
-		t.Fatalf("%+v, %v", f, err)
+		t.Fatalf("Load = %+v, %v, want roles and no error", f, err)
 	}
 }
 
-// A fault is told with its line and reason.
-func TestFaults(t *testing.T) {
+// Errors have the line and the reason.
+func TestErrors(t *testing.T) {
 	if err := load(t, good); err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +65,7 @@
 		err := load(t, strings.Replace(good, c.old, c.new, 1))
 		var e *deployfile.Error
 		if !errors.As(err, &e) || e.Line != c.line || !strings.Contains(err.Error(), c.reason) {
-			t.Errorf("%s: %v, want line %d and %q", name, err, c.line, c.reason)
+			t.Errorf("%s: got error %v, want one for line %d with %q", name, err, c.line, c.reason)
 		}
 	}
 }
