--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs writes log lines without ever holding up those who log: when
-// the reader of the output stalls, lines are dropped and counted.
+// Package logs writes log lines without blocking the code that logs. If the reader of the
+// output stalls, lines are dropped and counted.
 package logs
 
 import (
@@ -10,11 +10,12 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// queued is how many lines wait for the output; about a second of a busy
-// instance's.
-const queued = 1024
+// queueLimit is the number of lines that may be queued for the output, about as many as a
+// busy instance logs in a second.
+const queueLimit = 1024
 
-// Writer is an io.Writer that hands each line to a goroutine. Call NewWriter.
+// Writer is an io.Writer that queues each line for a goroutine that writes it. Use
+// NewWriter to create one.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
@@ -22,14 +23,15 @@
 	group   errgroup.Group
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer to out. Call Close to stop its goroutine.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queued)}
+	w := &Writer{out: out, lines: make(chan []byte, queueLimit)}
 	w.group.Go(w.run)
 	return w
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write queues a copy of line, or drops it if the queue is full. It never blocks and never
+// returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -39,22 +41,25 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns how many lines have been dropped.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits. Nothing may be written after it.
+// Close writes the queued lines and stops the goroutine. Write must not be called after
+// it.
 func (w *Writer) Close() {
 	close(w.lines)
-	_ = w.group.Wait() // run returns nil
+	_ = w.group.Wait() // run always returns nil
 }
 
+// run writes the queued lines until the queue is closed. After lines have been dropped it
+// writes a line with their number.
 func (w *Writer) run() error {
-	told := int64(0)
+	reported := int64(0)
 	for line := range w.lines {
-		_, _ = w.out.Write(line) // there is no other place to tell of a failure
-		if n := w.dropped.Load(); n > told {
-			fmt.Fprintf(w.out, "level=warn msg=\"log lines dropped\" lines=%d in_all=%d\n", n-told, n)
-			told = n
+		_, _ = w.out.Write(line) // an error cannot be logged anywhere else
+		if n := w.dropped.Load(); n > reported {
+			fmt.Fprintf(w.out, "level=warn msg=\"log lines dropped\" lines=%d in_all=%d\n", n-reported, n)
+			reported = n
 		}
 	}
 	return nil
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -10,6 +10,7 @@
 	"github.com/zinnialadder/zinnialadder/internal/logs"
 )
 
+// All lines written before Close are in the output.
 func TestLinesAreWritten(t *testing.T) {
 	var out bytes.Buffer
 	w := logs.NewWriter(&out)
@@ -18,64 +19,64 @@
 	}
 	w.Close()
 	if n := strings.Count(out.String(), "\n"); n != 10 {
-		t.Fatalf("%d of 10 lines", n)
+		t.Fatalf("got %d lines in the output, want 10", n)
 	}
 }
 
-// stalled is an output that nobody reads until it is released.
-type stalled struct {
+// stalledWriter blocks until release is closed.
+type stalledWriter struct {
 	bytes.Buffer
 	release chan struct{}
 }
 
-func (s *stalled) Write(b []byte) (int, error) {
+func (s *stalledWriter) Write(b []byte) (int, error) {
 	<-s.release
 	return s.Buffer.Write(b)
 }
 
-// A reader that stalls costs lines and holds nobody up; how many is told when
-// it reads again.
-func TestStalledReaderCostsLines(t *testing.T) {
-	out := &stalled{release: make(chan struct{})}
+// While the output stalls, Write drops lines and does not block. A line about the drop is
+// written when the output continues.
+func TestStalledOutputDropsLines(t *testing.T) {
+	out := &stalledWriter{release: make(chan struct{})}
 	w := logs.NewWriter(out)
-	begun := time.Now()
+	start := time.Now()
 	for range 5000 {
 		fmt.Fprintln(w, "line")
 	}
-	if took := time.Since(begun); took > time.Second {
-		t.Fatalf("5,000 lines took %v", took)
+	if took := time.Since(start); took > time.Second {
+		t.Fatalf("5,000 lines took %v, want at most 1s", took)
 	}
 	if w.Dropped() < 3000 {
-		t.Fatalf("%d lines dropped", w.Dropped())
+		t.Fatalf("%d lines dropped, want at least 3000", w.Dropped())
 	}
 	close(out.release)
 	w.Close()
 	if !strings.Contains(out.String(), "log lines dropped") {
-		t.Fatal("the drop is not told")
+		t.Fatal(`got no line "log lines dropped" in the output`)
 	}
 }
 
-// Replays six times the load that a budget allows: no second has more lines
-// than the budget, and the lines skipped are told.
-func TestBudget(t *testing.T) {
-	b := logs.NewLimiter(10)
+// At six times the load that a Limiter allows, the lines written stay within the limit,
+// and the lines written and reported as skipped add up to all.
+func TestLimiter(t *testing.T) {
+	l := logs.NewLimiter(10)
 	now := time.Unix(1_800_000_000, 0)
-	lines, told := 0, 0
+	lines, reported := 0, 0
 	for range 5 {
 		inSecond := 0
 		for range 60 {
-			if skipped, ok := b.Allow(now); ok {
+			if skipped, ok := l.Allow(now); ok {
 				inSecond++
-				told += skipped
+				reported += skipped
 			}
 			now = now.Add(time.Second / 60)
 		}
 		lines += inSecond
-		if inSecond > 20 { // a span of a second can meet two of the clock's
-			t.Fatalf("%d lines in a second", inSecond)
+		if inSecond > 20 { // 60 calls can fall into two seconds of Unix time
+			t.Fatalf("%d lines in a second, want at most 20", inSecond)
 		}
 	}
-	if skipped, ok := b.Allow(now.Add(time.Second)); !ok || lines+told+skipped != 300 {
-		t.Fatalf("%d lines and %d told as skipped, of 300", lines, told+skipped)
+	if skipped, ok := l.Allow(now.Add(time.Second)); !ok || lines+reported+skipped != 300 {
+		t.Fatalf("%d lines written and %d reported as skipped, want 300 in all", lines, reported+skipped)
 	}
 }
