--- a/internal/exposition/exposition.go
+++ b/internal/exposition/exposition.go
@@ -1,5 +1,5 @@
-// Package exposition serves a go-metrics registry as text in the Prometheus
-// exposition format, which common tools read.
+// Package exposition serves a go-metrics registry in the Prometheus text exposition
+// format, which common monitoring tools read.
 package exposition
 
 import (
@@ -15,23 +15,24 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// quantiles are those that a timer or histogram is told by.
+// quantiles are the quantiles reported for timers and histograms.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// Handler returns the handler that serves r. Names become those of the format:
-// dots and dashes turn into underscores, and prefix comes first.
+// Handler returns a handler that serves the metrics of Write.
 func Handler(r metrics.Registry, prefix string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", string(expfmt.NewFormat(expfmt.TypeTextPlain)))
-		_ = Write(w, r, prefix) // a reader that has left gets nothing
+		_ = Write(w, r, prefix) // an error, such as of a closed connection, cannot be sent to the client
 	})
 }
 
-// Write writes r and the figures of the Go runtime to w.
+// Write writes the metrics in r and of the Go runtime to w. Each name starts with prefix
+// and an underscore; dots, dashes and spaces in it become underscores. Counters get the
+// suffix _total; timers are summaries in seconds with the suffix _seconds.
 func Write(w io.Writer, r metrics.Registry, prefix string) error {
 	var families []*dto.MetricFamily
 	r.Each(func(name string, m any) {
-		if f := family(prefix+"_"+clean(name), m); f != nil {
+		if f := family(prefix+"_"+sanitize(name), m); f != nil {
 			families = append(families, f)
 		}
 	})
@@ -45,10 +46,12 @@
 	return nil
 }
 
-func clean(name string) string {
+// sanitize replaces the characters of name that the format does not allow.
+func sanitize(name string) string {
 	return strings.NewReplacer(".", "_", "-", "_", " ", "_").Replace(name)
 }
 
+// family returns the metric family of m, or nil if m is of a type that is not exported.
 func family(name string, m any) *dto.MetricFamily {
 	switch m := m.(type) {
 	case metrics.Counter:
@@ -75,14 +78,17 @@
 	return &dto.MetricFamily{Name: &name, Type: dto.MetricType_GAUGE.Enum(), Metric: []*dto.Metric{{Gauge: &dto.Gauge{Value: &v}}}}
 }
 
-func summary(name string, count uint64, sum float64, at []float64, unit float64) *dto.MetricFamily {
+// summary returns a summary whose sum and quantile values are divided by unit. values are
+// those of quantiles, in the same order.
+func summary(name string, count uint64, sum float64, values []float64, unit float64) *dto.MetricFamily {
 	s := &dto.Summary{SampleCount: &count, SampleSum: ptr(sum / unit)}
 	for i, q := range quantiles {
-		s.Quantile = append(s.Quantile, &dto.Quantile{Quantile: ptr(q), Value: ptr(at[i] / unit)})
+		s.Quantile = append(s.Quantile, &dto.Quantile{Quantile: ptr(q), Value: ptr(values[i] / unit)})
 	}
 	return &dto.MetricFamily{Name: &name, Type: dto.MetricType_SUMMARY.Enum(), Metric: []*dto.Metric{{Summary: s}}}
 }
 
+// runtimeFamilies returns the metrics of the Go runtime.
 func runtimeFamilies(prefix string) []*dto.MetricFamily {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/exposition/exposition_test.go
+++ b/internal/exposition/exposition_test.go
@@ -13,7 +13,7 @@
 	"github.com/zinnialadder/zinnialadder/internal/exposition"
 )
 
-// What is served is read back by the format's own parser.
+// The Prometheus parser reads the names and values of the metrics in the response.
 func TestHandler(t *testing.T) {
 	r := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("requests.served", r).Inc(3)
@@ -27,15 +27,15 @@
 		t.Fatal(err)
 	}
 	if v := families["zinnia_requests_served_total"].Metric[0].Counter.GetValue(); v != 3 {
-		t.Errorf("counter %v", v)
+		t.Errorf("zinnia_requests_served_total = %v, want 3", v)
 	}
 	if v := families["zinnia_configuration_version"].Metric[0].Gauge.GetValue(); v != 7 {
-		t.Errorf("gauge %v", v)
+		t.Errorf("zinnia_configuration_version = %v, want 7", v)
 	}
 	if s := families["zinnia_store_commit_seconds"].Metric[0].Summary; s.GetSampleCount() != 1 || s.GetSampleSum() != 0.02 {
-		t.Errorf("timer %v", s)
+		t.Errorf("zinnia_store_commit_seconds = %v, want count 1 and sum 0.02", s)
 	}
 	if families["zinnia_go_goroutines"] == nil {
-		t.Error("no figures of the runtime")
+		t.Error("zinnia_go_goroutines is missing")
 	}
 }
