--- a/internal/httpjson/client.go
+++ b/internal/httpjson/client.go
@@ -9,24 +9,25 @@
 	"net/http"
 )
 
-// Client sends JSON requests to one server. The clients of the protocols are
-// built on it.
+// Client sends JSON requests to one server. The clients of zinnialadder's HTTP protocols
+// use it.
 type Client struct {
-	BaseURL string // URL that paths are added to, such as "http://127.0.0.1:7101"
+	BaseURL string // URL that request paths are appended to, such as "http://127.0.0.1:7101"
 	HTTP    *http.Client
 }
 
-// NewClient returns a Client for the server at base. A nil hc means
+// NewClient returns a Client for the server at baseURL. If hc is nil, the Client uses
 // http.DefaultClient.
-func NewClient(base string, hc *http.Client) Client {
+func NewClient(baseURL string, hc *http.Client) Client {
 	if hc == nil {
 		hc = http.DefaultClient
 	}
-	return Client{BaseURL: base, HTTP: hc}
+	return Client{BaseURL: baseURL, HTTP: hc}
 }
 
-// Send sends in (nil for no body) to path with method and returns the answer,
-// whatever its status. The caller closes its body.
+// Send sends a request with the JSON encoding of in as its body, or without a body if in
+// is nil, and returns the response, whatever its status. The caller must close the
+// response's body.
 func (c Client) Send(ctx context.Context, method, path string, in any) (*http.Response, error) {
 	var body io.Reader
 	if in != nil {
@@ -46,8 +47,8 @@
 	return c.HTTP.Do(req)
 }
 
-// Do sends in as Send does and decodes a JSON answer into out (nil to discard
-// it). An answer outside 2xx is a *StatusError.
+// Do sends a request as Send does and decodes the JSON response into out, or discards it
+// if out is nil. For a status other than 2xx the error is a *StatusError.
 func (c Client) Do(ctx context.Context, method, path string, in, out any) error {
 	resp, err := c.Send(ctx, method, path, in)
 	if err != nil {
@@ -62,17 +63,17 @@
 		return nil
 	}
 	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
-		return fmt.Errorf("decode answer: %w", err)
+		return fmt.Errorf("decode response: %w", err)
 	}
 	return nil
 }
 
-// maxReason is how much of a refusal's body is kept.
-const maxReason = 4096
+// maxErrorBody is the number of bytes of a response's body that a StatusError holds.
+const maxErrorBody = 4096
 
-// NewStatusError returns the error of an answer whose status was not the one
-// expected, with what its body says.
+// NewStatusError returns the error for a response with an unexpected status. It reads the
+// first maxErrorBody bytes of the body and does not close it.
 func NewStatusError(resp *http.Response) *StatusError {
-	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxReason))
+	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	return &StatusError{Status: resp.StatusCode, Header: resp.Header, Body: string(bytes.TrimSpace(b))}
 }
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package httpjson reads and writes the JSON bodies of the HTTP protocols
-// that zinnialadder speaks, with size limits and strict field checks.
+// Package httpjson reads and writes the JSON bodies of zinnialadder's HTTP protocols. It
+// limits the size of request bodies and refuses unknown fields in them.
 package httpjson
 
 import (
@@ -14,38 +14,38 @@
 // MaxBody is the largest request body, in bytes, that Decode accepts.
 const MaxBody = 1 << 20
 
-// ErrTooLarge is returned by Decode for a body over MaxBody.
+// ErrTooLarge is returned by Decode for a body of more than MaxBody bytes.
 var ErrTooLarge = fmt.Errorf("body over the limit of %d bytes", MaxBody)
 
-// Decode reads one JSON value from r's body into v, refusing unknown
-// fields, trailing data and bodies over MaxBody bytes.
+// Decode decodes the body of r, which must be one JSON value, into v. Unknown fields and
+// data after the value are errors; for a body over MaxBody bytes it returns ErrTooLarge.
 func Decode(w http.ResponseWriter, r *http.Request, v any) error {
 	body := http.MaxBytesReader(w, r.Body, MaxBody)
 	dec := json.NewDecoder(body)
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
-		return malformed(err)
+		return decodeError(err)
 	}
 	switch _, err := dec.Token(); {
 	case err == nil:
 		return errors.New("malformed JSON: trailing data after the value")
 	case err != io.EOF:
-		return malformed(err)
+		return decodeError(err)
 	}
 	return nil
 }
 
-// malformed returns the error of a body that could not be read.
-func malformed(err error) error {
-	var mb *http.MaxBytesError
-	if errors.As(err, &mb) {
+// decodeError returns the error of Decode for err, an error of reading the body.
+func decodeError(err error) error {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		return ErrTooLarge
 	}
 	return fmt.Errorf("malformed JSON: %w", err)
 }
 
-// Read decodes r's body into v, or answers 400 with the reason and reports
-// false.
+// Read decodes the body of r into v and reports whether that succeeded. Otherwise it has
+// responded with the error and status 400, or 413 for a body over MaxBody bytes.
 func Read(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := Decode(w, r, v); err != nil {
 		status := http.StatusBadRequest
@@ -58,27 +58,27 @@
 	return true
 }
 
-// Write sends v as a JSON answer with the given status.
+// Write responds with the JSON encoding of v and the given status.
 func Write(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// StatusError is an answer whose status was not the one expected.
+// StatusError is the error for a response with an unexpected status.
 type StatusError struct {
 	Status int
 	Header http.Header
-	Body   string
+	Body   string // of the response, or its start if it is long
 }
 
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("status %d: %s", e.Status, e.Body)
 }
 
-// NotSent reports whether err is of a request that no connection could be
-// made for, so that it certainly reached nobody.
+// NotSent reports whether err is the error of a request for which no connection could be
+// made, so that the request has certainly not reached the server.
 func NotSent(err error) bool {
-	var oe *net.OpError
-	return errors.As(err, &oe) && oe.Op == "dial"
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
