--- a/internal/crashtest/server.go
+++ b/internal/crashtest/server.go
@@ -1,5 +1,5 @@
-// Package crashtest serves HTTP as a process does that can crash and start again at
-// its address, for stand-ins of upstreams.
+// Package crashtest provides an HTTP server for fake upstreams that crashes and restarts
+// as the process of an upstream does.
 package crashtest
 
 import (
@@ -15,62 +15,65 @@
 	"github.com/zinnialadder/zinnialadder/pkg/clock"
 )
 
-// restartPause is the pause before a server that could not start tries again, as
-// another process may hold its address for a moment.
-const restartPause = 20 * time.Millisecond
+// listenRetryInterval is the time until a restart that could not listen at the server's
+// address is tried again, since another process may use the address for a moment.
+const listenRetryInterval = 20 * time.Millisecond
 
 // Config configures a Server.
 type Config struct {
 	Handler http.Handler
-	// RestartDelay returns how long after a crash the server starts again; nil, or a
-	// time of 0, for never.
+	// RestartDelay returns the time from a crash to the restart. If it is nil or returns
+	// 0, the server does not restart.
 	RestartDelay func() time.Duration
-	// OnStart is told of each start, before the first request; nil for nothing.
+	// OnStart, if not nil, is called at each start before the server accepts requests.
+	// restarted is false at the first start only.
 	OnStart func(restarted bool)
 }
 
-// Server serves at one address, with pauses after crashes. Close it when done.
+// Server is an HTTP server that can crash and restart at the same address. Call Close to
+// stop it.
 type Server struct {
 	cfg     Config
 	address string
 	group   errgroup.Group
 
-	mu     sync.Mutex
-	server *http.Server // nil while it is down
-	closed bool
-	ends   []time.Time
+	mu      sync.Mutex
+	server  *http.Server // nil after a crash, until the restart
+	closed  bool
+	crashes []time.Time
 }
 
-// Serve starts a Server at a free port of loopback.
+// Serve starts a Server at a free port of 127.0.0.1.
 func Serve(cfg Config) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{cfg: cfg, address: ln.Addr().String()}
-	s.begin(ln, false)
+	s.start(ln, false)
 	return s, nil
 }
 
 // Address returns the server's IP:port.
 func (s *Server) Address() string { return s.address }
 
-// Up reports whether the server takes connections.
+// Up reports whether the server accepts connections.
 func (s *Server) Up() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.server != nil
 }
 
-// CrashTimes returns when the server has crashed.
+// CrashTimes returns the times at which the server crashed, the earliest first.
 func (s *Server) CrashTimes() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]time.Time(nil), s.ends...)
+	return append([]time.Time(nil), s.crashes...)
 }
 
-// begin begins a start, unless the server was closed meanwhile.
-func (s *Server) begin(ln net.Listener, restarted bool) {
+// start calls OnStart and serves on ln. If the server has been closed meanwhile it closes
+// ln instead.
+func (s *Server) start(ln net.Listener, restarted bool) {
 	if s.cfg.OnStart != nil {
 		s.cfg.OnStart(restarted)
 	}
@@ -78,30 +81,30 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		_ = ln.Close() // nobody has used it
+		_ = ln.Close() // no connection of it has been accepted
 		return
 	}
 	s.server = server
 	s.group.Go(func() error {
-		_ = server.Serve(ln) // until it is closed
+		_ = server.Serve(ln) // returns when the server is closed
 		return nil
 	})
 }
 
-// Crash ends the server at once: its connections close, and none is taken until it
-// starts again.
+// Crash closes the server and its connections at once. It accepts connections again after
+// Config.RestartDelay. Crash has no effect while the server is down.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	server := s.server
 	s.server = nil
 	if server != nil {
-		s.ends = append(s.ends, time.Now())
+		s.crashes = append(s.crashes, time.Now())
 	}
 	s.mu.Unlock()
 	if server == nil {
 		return
 	}
-	_ = server.Close() // what it could not close, its clients find
+	_ = server.Close() // connections that are not closed are noticed by their clients
 	if s.cfg.RestartDelay == nil {
 		return
 	}
@@ -110,6 +113,7 @@
 	}
 }
 
+// restart starts the server again at its address, unless it has been closed.
 func (s *Server) restart() {
 	s.mu.Lock()
 	closed := s.closed
@@ -119,44 +123,45 @@
 	}
 	ln, err := net.Listen("tcp", s.address)
 	if err != nil {
-		time.AfterFunc(restartPause, s.restart)
+		time.AfterFunc(listenRetryInterval, s.restart)
 		return
 	}
-	s.begin(ln, true)
+	s.start(ln, true)
 }
 
-// Close ends the server for good.
+// Close stops the server and waits for its goroutines. It does not restart.
 func (s *Server) Close() {
 	s.mu.Lock()
 	server := s.server
 	s.server, s.closed = nil, true
 	s.mu.Unlock()
 	if server != nil {
-		_ = server.Close() // nobody uses it any more
+		_ = server.Close() // the server is not used after this
 	}
-	_ = s.group.Wait() // its functions return nil
+	_ = s.group.Wait() // its functions always return nil
 }
 
-// Poison has a Server crash under the requests that match.
+// Poison makes a Server crash on certain requests.
 type Poison struct {
+	// Match reports whether a request with this body crashes the server.
 	Match func(body []byte) bool
-	// CrashDelay is how long after its beginning a request crashes the server, unless its
-	// caller leaves before.
+	// CrashDelay is the time from the start of a matching request to the crash. A request
+	// that is cancelled before does not crash the server.
 	CrashDelay time.Duration
 
-	mu   sync.Mutex
-	runs []time.Time
+	mu     sync.Mutex
+	starts []time.Time
 }
 
-// StartTimes returns when requests that match began.
+// StartTimes returns the times at which matching requests began, the earliest first.
 func (p *Poison) StartTimes() []time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]time.Time(nil), p.runs...)
+	return append([]time.Time(nil), p.starts...)
 }
 
-// Handler returns a handler that crashes server under the requests that match, and
-// leaves the others to h.
+// Handler returns a handler that crashes the Server that server returns on matching
+// requests and passes all others to h.
 func (p *Poison) Handler(h http.Handler, server func() *Server) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -169,7 +174,7 @@
 			return
 		}
 		p.mu.Lock()
-		p.runs = append(p.runs, time.Now())
+		p.starts = append(p.starts, time.Now())
 		p.mu.Unlock()
 		if clock.Sleep(r.Context(), p.CrashDelay) {
 			server().Crash()
