--- a/cmd/zinnialadder/roles.go
+++ b/cmd/zinnialadder/roles.go
@@ -46,7 +46,7 @@
 		ID: s.ID, DataCentre: s.DataCentre, Listen: s.Listen, Advertise: s.Advertise, PeerListen: s.PeerListen,
 		Platform:        platform.NewClient(s.Platform, nil),
 		Logger:          newLogger("entry", s.Common).With("id", s.ID),
-		RefreshInterval: time.Duration(s.Refresh),
+		RefreshInterval: time.Duration(s.RefreshInterval),
 		LeaseTTL:        time.Duration(s.LeaseTTL),
 		UpstreamTimeout: time.Duration(s.UpstreamTimeout),
 		RouteTTL:        time.Duration(s.RouteTTL),
@@ -61,7 +61,7 @@
 		ShardLeaseTTL:   time.Duration(s.ShardLeaseTTL),
 		StepRetention:   time.Duration(s.StepRetention),
 		StepPolicy:      step.Policy{HedgeFactor: s.HedgeFactor},
-		SlowFactor:      s.SlowFrom,
+		SlowFactor:      s.SlowFactor,
 	}
 }
 
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -53,7 +53,7 @@
 	DesiredShare float64 // share of a step's groups that the trainer waits for
 	HedgeFactor  float64 // step.Policy.HedgeFactor; 0 for no hedging
 	MaxLoading   int     // limit of engines that load a version at once
-	SlowFrom     float64 // entry.Config.SlowFactor; negative if no engine counts as slow
+	SlowFactor   float64 // entry.Config.SlowFactor; negative if no engine counts as slow
 }
 
 // Config is the configuration of a run.
@@ -131,7 +131,7 @@
 		Engine: enginetest.Config{Slots: slots, TokenInterval: tokenInterval, WeightVersion: 1, ChecksFencing: true, WeightStore: store},
 		Entry: entry.Config{RefreshInterval: 100 * time.Millisecond, TickInterval: 10 * time.Millisecond, ReportInterval: 100 * time.Millisecond,
 			StepTickInterval: 5 * time.Millisecond, StepRefreshInterval: 100 * time.Millisecond, RolloutPollInterval: 25 * time.Millisecond,
-			ReportLag: 50 * time.Millisecond, ShardGroups: 8, SlowFactor: cfg.Policy.SlowFrom, StepPolicy: step.Policy{HedgeFactor: hedge, HedgeAfter: 8, RetryDelay: 20 * time.Millisecond}}})
+			ReportLag: 50 * time.Millisecond, ShardGroups: 8, SlowFactor: cfg.Policy.SlowFactor, StepPolicy: step.Policy{HedgeFactor: hedge, HedgeAfter: 8, RetryDelay: 20 * time.Millisecond}}})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/experiment/meter.go
+++ b/internal/experiment/meter.go
@@ -164,13 +164,13 @@
 
 // Policies are the policies to compare: baselines first, the default last.
 var Policies = []Policy{
-	{Name: "every group, no hedging, none slow", DesiredShare: 1, MaxLoading: 3, SlowFrom: -1},
+	{Name: "every group, no hedging, none slow", DesiredShare: 1, MaxLoading: 3, SlowFactor: -1},
 	{Name: "every group, no hedging", DesiredShare: 1, MaxLoading: 3},
 	{Name: "desired groups, no hedging", DesiredShare: 0.9, MaxLoading: 3},
 	{Name: "desired, hedging 2x, 1 loading", DesiredShare: 0.9, HedgeFactor: 2, MaxLoading: 1},
 	{Name: "desired, hedging 2x, 9 loading", DesiredShare: 0.9, HedgeFactor: 2, MaxLoading: 9},
 	{Name: "desired, hedging 1.3x, 3 loading", DesiredShare: 0.9, HedgeFactor: 1.3, MaxLoading: 3},
-	{Name: "desired, hedging 2x, 3 loading, none slow", DesiredShare: 0.9, HedgeFactor: 2, MaxLoading: 3, SlowFrom: -1},
+	{Name: "desired, hedging 2x, 3 loading, none slow", DesiredShare: 0.9, HedgeFactor: 2, MaxLoading: 3, SlowFactor: -1},
 	{Name: "desired, hedging 2x, 3 loading", DesiredShare: 0.9, HedgeFactor: 2, MaxLoading: 3},
 }
 
--- a/internal/settings/roles.go
+++ b/internal/settings/roles.go
@@ -35,7 +35,7 @@
 	Advertise       string   `json:"advertise"`        // host:port that callers connect to; default listen
 	PeerListen      string   `json:"peer_listen"`      // host:port of the protocol between instances; empty for none
 	Platform        string   `json:"platform"`         // platform base URL, such as "http://127.0.0.1:7000"
-	Refresh         Duration `json:"refresh"`          // period of catalogue and membership reads
+	RefreshInterval Duration `json:"refresh"`          // period of catalogue and membership reads
 	LeaseTTL        Duration `json:"lease_ttl"`        // of the instance's membership
 	UpstreamTimeout Duration `json:"upstream_timeout"` // of upstream requests without a caller deadline
 	RouteTTL        Duration `json:"route_ttl"`        // how long callers may cache a route
@@ -50,7 +50,7 @@
 	ShardLeaseTTL   Duration `json:"shard_lease_ttl"`   // of the lease of a step's shard
 	StepRetention   Duration `json:"step_retention"`    // how long the status of a closed step is kept
 	HedgeFactor     float64  `json:"hedge_factor"`      // multiple of the median time; negative: never hedge
-	SlowFrom        float64  `json:"slow_from"`         // multiple of the median time; negative: no engine counts as slow
+	SlowFactor      float64  `json:"slow_from"`         // multiple of the median time; negative: no engine counts as slow
 }
 
 // Check returns an error for the first invalid field of e.
@@ -88,10 +88,10 @@
 	if e.HedgeFactor > 0 && e.HedgeFactor < 1 {
 		return errors.New("hedge_factor must be at least 1, negative for never, or 0 for the default")
 	}
-	if e.SlowFrom > 0 && e.SlowFrom <= 1 {
+	if e.SlowFactor > 0 && e.SlowFactor <= 1 {
 		return errors.New("slow_from must be more than 1, negative for never, or 0 for the default")
 	}
-	if e.LeaseTTL != 0 && e.Refresh != 0 && e.LeaseTTL < 2*e.Refresh {
+	if e.LeaseTTL != 0 && e.RefreshInterval != 0 && e.LeaseTTL < 2*e.RefreshInterval {
 		return errors.New("lease_ttl must be at least twice refresh")
 	}
 	return nil
