--- a/pkg/forward/stream.go
+++ b/pkg/forward/stream.go
@@ -106,7 +106,7 @@
 	request       Request
 	sink          Sink
 	headerSent    bool // the header has been sent to the caller
-	startReported bool // OnAttempt has been given a BegunAt time
+	startReported bool // OnAttempt has been given a StartedAt time
 	lastEventID   int  // ID of the last event sent to the caller
 	complete      bool // the complete response has been sent to the caller
 }
--- a/pkg/submission/batch.go
+++ b/pkg/submission/batch.go
@@ -20,7 +20,7 @@
 }
 
 // PrepareBatch returns a Batch of the first of results, as many as fit into one
-// transaction. Results larger than l.MaxRow bytes are stored as objects first; the
+// transaction. Results larger than l.MaxRowBytes bytes are stored as objects first; the
 // error is the store's or that of the encoding.
 func (l Repository) PrepareBatch(ctx context.Context, o HeadRow, position int, results []Result) (Batch, error) {
 	b := Batch{Position: position, ops: []platform.Op{platform.Check(headKey(o.ID), o.Fencing)}}
