--- a/pkg/entry/quarantine.go
+++ b/pkg/entry/quarantine.go
@@ -41,7 +41,7 @@
 			return len(members) > 0 && members[0].ID == in.cfg.ID
 		},
 		OnWriteError: func(rows int, err error) {
-			in.cfg.Logger.Debug("quarantine rows not written", "rows", rows, "err", err)
+			in.cfg.Logger.Debug("writing quarantine rows failed; retrying", "rows", rows, "err", err)
 		},
 	})
 }
@@ -82,7 +82,7 @@
 	}
 	u := quarantine.SplitChanges(changes, quarantinePrefix)
 	if len(u.DecodeErrors) > 0 {
-		in.cfg.Logger.Warn("quarantine rows not understood", "err", errors.Join(u.DecodeErrors...))
+		in.cfg.Logger.Warn("malformed quarantine rows; ignoring them", "err", errors.Join(u.DecodeErrors...))
 	}
 	in.quarantine.Guard.Apply(u.Rows, true, time.Now())
 	members := make([]platform.Row, len(u.Others))
