--- a/pkg/node/orderlease.go
+++ b/pkg/node/orderlease.go
@@ -153,8 +153,8 @@
 func ordersValidUntil(h lease.Held) time.Time { return h.ValidUntil.Add(-takeoverDelay) }
 
 // release releases the lease, so that another instance can order engines before it
-// would expire. The next holder does not order the engines in the ledger for as long as
-// holders must not alternate.
+// would expire. The next holder does not order the engines in the ledger for
+// Config.MinHolderInterval.
 func (o *orderSender) release(ctx context.Context, manager *lease.Manager) {
 	n := o.node
 	o.replaceHeld(lease.Held{})
--- a/pkg/node/orderledger.go
+++ b/pkg/node/orderledger.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// orderLedger records the engines that were ordered so recently that another holder of
-// the orders lease must not order them. It is stored in the row of the lease: an engine
-// is entered before it is ordered, so that the next holder knows which engines to wait
-// for and can order all others at once.
+// orderLedger records the engines that were ordered within Config.MinHolderInterval, in
+// which another holder of the orders lease must not order them. It is stored in the row
+// of the lease: an engine is entered before it is ordered, so that the next holder knows
+// which engines to wait for and can order all others at once.
 type orderLedger struct {
 	pending       map[string]int       // orders about to be sent, by engine ID
 	excludedUntil map[string]time.Time // time until which other holders must not order an engine
--- a/pkg/node/orders.go
+++ b/pkg/node/orders.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// LeasesTable is the table of leases of duties that one instance at a time has.
+	// LeasesTable is the table of the leases for duties that only one instance at a time
+	// performs.
 	LeasesTable = "leases"
 	// ordersLease is the name of the lease of the one instance that orders engines.
 	ordersLease = LeasesTable + "//orders"
@@ -23,10 +24,10 @@
 	orderWindow = 900 * time.Millisecond
 	// takeoverDelay is how much longer the next holder waits, so that the lease does
 	// not alternate between holders while the store is slow for all of them: two calls
-	// of 0.25 s and the pause between renewals. Only for engines that were ordered
-	// recently does it wait as long as holders must not alternate, 3 s. If it waited
-	// for all engines, a simulated day on which six holders are lost would score 0.65
-	// instead of 0.73 (means of ten runs with equal seeds).
+	// of 0.25 s and the pause between renewals. Engines that the previous holder ordered
+	// recently are not ordered for Config.MinHolderInterval, by default 3 s. If the next
+	// holder waited 3 s for all engines, a simulated day on which six holders are lost
+	// would score 0.65 instead of 0.73 (means of ten runs with equal seeds).
 	takeoverDelay = 600 * time.Millisecond
 	// leaseRenewInterval is the interval at which the lease is renewed, or requested:
 	// at least twice in orderWindow, because a call may fail.
--- a/pkg/node/plan.go
+++ b/pkg/node/plan.go
@@ -28,7 +28,8 @@
 }
 
 // planPool sends the orders that are due in one pool, of whose engines a limited number
-// may load at once.
+// may load at once. until is the time until which orders may be sent under the lease.
+// continueRunning is the value of LoadOrder.Continue in the orders.
 func (o *orderSender) planPool(ctx context.Context, p planOrders, pool routetable.Pool, until time.Time, continueRunning bool) {
 	ids, _ := o.node.registry.NonDraining(pool.Name)
 	demands := poolDemands(pool, p.demands)
--- a/pkg/node/takeover.go
+++ b/pkg/node/takeover.go
@@ -38,8 +38,9 @@
 	return effs
 }
 
-// orphanWait returns how long this instance leaves an orphan to others. ownerLive means
-// that its owner is among the members but has not claimed it.
+// orphanWait returns how long this instance waits before it takes over an orphan, which
+// is an open submission that no live instance runs. ownerLive means that its owner is
+// among the members but has not claimed it.
 func (s *state) orphanWait(o submission.HeadRow, ownerLive bool, members *membership.Roster) time.Duration {
 	name := membership.NameOf(o.Owner)
 	if name == s.name {
@@ -56,7 +57,8 @@
 	return orphanDelay + wait
 }
 
-// rankDelay returns how long this instance leaves an orphan to those ranked before it.
+// rankDelay returns how long this instance waits for the live instances that rank before
+// it as owners of an orphan, other than the owner itself.
 func (s *state) rankDelay(o submission.HeadRow, members *membership.Roster) time.Duration {
 	i := 0
 	for _, m := range s.ownerRankings.owners(members, o.Head) {
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -71,8 +71,9 @@
 	}
 }
 
-// onConnectionLost has the upstream of a probed. It waits for all probes that concern
-// the content of a if their crashes could put it in quarantine.
+// onConnectionLost starts a probe of the upstream at which a lost its connection. If
+// crashes found by the probes in progress could put the content of a in quarantine, it
+// waits until these probes are done or ctx is.
 func (g *Guard) onConnectionLost(ctx context.Context, a *Attempt) {
 	if g.cfg.IsLeaving(a.to) {
 		return // a planned stop is no crash
--- a/pkg/quarantine/syncer.go
+++ b/pkg/quarantine/syncer.go
@@ -58,9 +58,9 @@
 // rowValue is the value of a row.
 type rowValue struct {
 	At       time.Time `json:"at"`
-	By       string    `json:"by"` // process of the instance that wrote the row
-	Unlikely bool      `json:"unlikely,omitempty"`
-	Apart    []string  `json:"apart,omitempty"`
+	By       string    `json:"by"`                 // process of the instance that wrote the row
+	Unlikely bool      `json:"unlikely,omitempty"` // Row.UnlikelyCause
+	Apart    []string  `json:"apart,omitempty"`    // Row.UnrelatedCrashes
 }
 
 func (s *Syncer) putOp(r Row) (platform.Op, error) {
--- a/pkg/submission/prior_work.go
+++ b/pkg/submission/prior_work.go
@@ -13,7 +13,7 @@
 
 // PriorWork is what previous owners have stored of a submission.
 type PriorWork struct {
-	Results  []Result      // that have a position
+	Results  []Result      // the results that have a position
 	Partials []PartialText // texts that are not complete
 	// ProgressToken is the fencing token under which Partials are stored; 0 if none
 	// are.
--- a/pkg/submission/run.go
+++ b/pkg/submission/run.go
@@ -16,7 +16,7 @@
 	running               // an attempt is in flight at an engine
 	unscored              // the text is complete and the scorer is to be called
 	scoring               // a scorer call is in flight
-	finished              // the result is not written yet
+	finished              // the result is known and not written yet
 	stored                // the result is written at its position
 )
 
