--- a/cmd/zinnialadder/ctl.go
+++ b/cmd/zinnialadder/ctl.go
@@ -49,8 +49,8 @@
 				return err
 			}
 			out, err := catalogue.Sync(cmd.Context(), client(), f, authorOr(*author), time.Now())
-			for _, o := range out {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s\tversion %d\tchanged %t\n", o.Key, o.Version, o.Changed)
+			for _, res := range out {
+				fmt.Fprintf(cmd.OutOrStdout(), "%s\tversion %d\tchanged %t\n", res.Key, res.Version, res.Changed)
 			}
 			return err
 		},
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -66,21 +66,21 @@
 		case "submission not kept":
 			s.Rejections++
 		case "submission kept":
-			if c := timingOf(id); c.keptAt.IsZero() || l.at.Before(c.keptAt) {
-				c.keptAt = l.at
+			if t := timingOf(id); t.keptAt.IsZero() || l.at.Before(t.keptAt) {
+				t.keptAt = l.at
 			}
 		case "submission ended":
-			if c := timingOf(id); c.endedAt.IsZero() || l.at.Before(c.endedAt) {
-				c.endedAt = l.at
+			if t := timingOf(id); t.endedAt.IsZero() || l.at.Before(t.endedAt) {
+				t.endedAt = l.at
 			}
 		case "submission runs no more":
 			timingOf(id).add(l)
 		}
 	}
-	for _, c := range byID {
-		if !c.keptAt.IsZero() && !c.endedAt.IsZero() && c.endedAt.After(c.keptAt) {
-			c.finish()
-			s.Submissions = append(s.Submissions, *c)
+	for _, t := range byID {
+		if !t.keptAt.IsZero() && !t.endedAt.IsZero() && t.endedAt.After(t.keptAt) {
+			t.finish()
+			s.Submissions = append(s.Submissions, *t)
 		}
 	}
 	slices.SortFunc(s.Submissions, func(a, b SubmissionTiming) int {
@@ -90,18 +90,18 @@
 }
 
 // add adds the times and counts of a line "submission runs no more".
-func (c *SubmissionTiming) add(l Line) {
-	c.Model, c.Step = l.Get("model"), l.Get("step")
-	c.Runs++
+func (t *SubmissionTiming) add(l Line) {
+	t.Model, t.Step = l.Get("model"), l.Get("step")
+	t.Runs++
 	for name, p := range phaseKeys {
 		d, err := time.ParseDuration(l.Get(name))
-		if err != nil || p == NoOwner && c.Runs > 1 {
+		if err != nil || p == NoOwner && t.Runs > 1 {
 			continue // a later owner's owner_after includes the runs of the earlier ones
 		}
-		c.Phases[p] += max(d, 0)
+		t.Phases[p] += max(d, 0)
 	}
-	c.Attempts += number(l.Get("attempts"))
-	c.EmptyAttempts += number(l.Get("refused"))
+	t.Attempts += number(l.Get("attempts"))
+	t.EmptyAttempts += number(l.Get("refused"))
 }
 
 // number parses a count; a missing or malformed one is 0.
@@ -114,13 +114,13 @@
 }
 
 // finish sets the total time, and the time that no owner logged.
-func (c *SubmissionTiming) finish() {
-	c.Duration = c.endedAt.Sub(c.keptAt)
-	rest := c.Duration
-	for _, d := range c.Phases {
+func (t *SubmissionTiming) finish() {
+	t.Duration = t.endedAt.Sub(t.keptAt)
+	rest := t.Duration
+	for _, d := range t.Phases {
 		rest -= d
 	}
-	c.Phases[Other] = max(rest, 0)
+	t.Phases[Other] = max(rest, 0)
 }
 
 // Write writes a table with the sums over all submissions and a row for each of the
@@ -133,19 +133,19 @@
 	}
 	fmt.Fprintln(t)
 	sum := SubmissionTiming{ID: fmt.Sprintf("all %d", len(s.Submissions)), Phases: map[Phase]time.Duration{}}
-	for _, c := range s.Submissions {
-		sum.Duration += c.Duration
-		sum.Runs += c.Runs
-		sum.Attempts += c.Attempts
-		sum.EmptyAttempts += c.EmptyAttempts
-		for p, d := range c.Phases {
+	for _, st := range s.Submissions {
+		sum.Duration += st.Duration
+		sum.Runs += st.Runs
+		sum.Attempts += st.Attempts
+		sum.EmptyAttempts += st.EmptyAttempts
+		for p, d := range st.Phases {
 			sum.Phases[p] += d
 		}
 	}
-	for _, c := range append([]SubmissionTiming{sum}, s.Submissions[:min(slowest, len(s.Submissions))]...) {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%.1f s\t%d\t%d\t%d\t", c.ID, c.Model, c.Step, c.Duration.Seconds(), c.Runs, c.Attempts, c.EmptyAttempts)
+	for _, st := range append([]SubmissionTiming{sum}, s.Submissions[:min(slowest, len(s.Submissions))]...) {
+		fmt.Fprintf(t, "%s\t%s\t%s\t%.1f s\t%d\t%d\t%d\t", st.ID, st.Model, st.Step, st.Duration.Seconds(), st.Runs, st.Attempts, st.EmptyAttempts)
 		for _, p := range Phases {
-			fmt.Fprintf(t, "%.1f\t", c.Phases[p].Seconds())
+			fmt.Fprintf(t, "%.1f\t", st.Phases[p].Seconds())
 		}
 		fmt.Fprintln(t)
 	}
--- a/internal/loadsim/server.go
+++ b/internal/loadsim/server.go
@@ -29,54 +29,54 @@
 }
 
 // unreachable reports whether the upstream accepts no connection at now.
-func (u *server) unreachable(now time.Time) bool {
-	l, after := u.site.load, now.Sub(u.site.start)
-	return u.hasOutage && after >= l.OutageStart && after < l.OutageStart+l.OutageDuration
+func (s *server) unreachable(now time.Time) bool {
+	l, after := s.site.load, now.Sub(s.site.start)
+	return s.hasOutage && after >= l.OutageStart && after < l.OutageStart+l.OutageDuration
 }
 
 // load returns the load that the upstream reports with an answer.
-func (u *server) load() upstream.Load {
-	return upstream.Load{Running: u.running, Queued: len(u.queued), Slots: u.site.load.Slots}
+func (s *server) load() upstream.Load {
+	return upstream.Load{Running: s.running, Queued: len(s.queued), Slots: s.site.load.Slots}
 }
 
 // accept runs, queues or refuses an attempt that arrives at now.
-func (u *server) accept(now time.Time, j *job) {
-	u.pendingCost += attemptCost
-	switch l := u.site.load; {
-	case u.running < l.Slots:
-		u.run(now, j)
-	case len(u.queued) < l.QueueLimit:
-		u.queued = append(u.queued, j)
+func (s *server) accept(now time.Time, j *job) {
+	s.pendingCost += attemptCost
+	switch l := s.site.load; {
+	case s.running < l.Slots:
+		s.run(now, j)
+	case len(s.queued) < l.QueueLimit:
+		s.queued = append(s.queued, j)
 	default:
-		j.answer(now, u.load(), false)
+		j.answer(now, s.load(), false)
 	}
 }
 
 // run runs j in a free slot.
-func (u *server) run(now time.Time, j *job) {
-	u.running++
-	work := time.Duration(u.site.rand.ExpFloat64()*float64(u.site.load.ServiceTime)) + u.pendingCost
-	if u.slow {
-		work = time.Duration(u.site.load.SlowFactor * float64(work))
+func (s *server) run(now time.Time, j *job) {
+	s.running++
+	work := time.Duration(s.site.rand.ExpFloat64()*float64(s.site.load.ServiceTime)) + s.pendingCost
+	if s.slow {
+		work = time.Duration(s.site.load.SlowFactor * float64(work))
 	}
-	u.pendingCost = 0
-	u.site.schedule(now.Add(work), func(now time.Time) {
-		u.running--
-		j.answer(now, u.load(), true)
-		u.next(now)
+	s.pendingCost = 0
+	s.site.schedule(now.Add(work), func(now time.Time) {
+		s.running--
+		j.answer(now, s.load(), true)
+		s.next(now)
 	})
 }
 
 // next runs the first queued job whose deadline has not passed, and drops those
 // before it.
-func (u *server) next(now time.Time) {
-	for len(u.queued) > 0 {
-		j := u.queued[0]
-		u.queued = u.queued[1:]
+func (s *server) next(now time.Time) {
+	for len(s.queued) > 0 {
+		j := s.queued[0]
+		s.queued = s.queued[1:]
 		if now.Before(j.until) {
-			u.run(now, j)
+			s.run(now, j)
 			return
 		}
-		j.answer(now, u.load(), false)
+		j.answer(now, s.load(), false)
 	}
 }
--- a/internal/loadsim/site.go
+++ b/internal/loadsim/site.go
@@ -110,13 +110,13 @@
 // next sends the request to an upstream, has it wait, or rejects it.
 func (r *request) next(now time.Time) {
 	s := r.caller.site
-	t, wait := r.plan.Next(r.instance.registry, upstream.Requirements{Pool: pool, Now: now, Affinity: r.instance.name})
-	if t == nil && wait == 0 && s.policy.WaitForSlot && now.Add(slotPollInterval).Before(r.plan.Deadline) {
+	rsv, wait := r.plan.Next(r.instance.registry, upstream.Requirements{Pool: pool, Now: now, Affinity: r.instance.name})
+	if rsv == nil && wait == 0 && s.policy.WaitForSlot && now.Add(slotPollInterval).Before(r.plan.Deadline) {
 		wait = slotPollInterval
 	}
 	switch {
-	case t != nil:
-		r.send(now, t)
+	case rsv != nil:
+		r.send(now, rsv)
 	case wait > 0:
 		s.schedule(now.Add(wait), r.next)
 	default:
@@ -134,7 +134,7 @@
 }
 
 // send sends the request to the reserved upstream.
-func (r *request) send(now time.Time, t *upstream.Reservation) {
+func (r *request) send(now time.Time, rsv *upstream.Reservation) {
 	s := r.caller.site
 	s.meter.attempts++
 	until := r.plan.AttemptDeadline(now)
@@ -144,9 +144,9 @@
 			return
 		}
 		finished = true
-		r.ended(now, t, upstream.AttemptResult{At: now, Load: load, TimePerUnit: now.Sub(startedAt)}, err)
+		r.ended(now, rsv, upstream.AttemptResult{At: now, Load: load, TimePerUnit: now.Sub(startedAt)}, err)
 	}
-	if s.upstreams[t.ID].unreachable(now) {
+	if s.upstreams[rsv.ID].unreachable(now) {
 		s.schedule(now.Add(2*linkDelay), func(now time.Time) { end(now, nil, forward.ErrUnreachable) })
 		return
 	}
@@ -160,24 +160,24 @@
 			end(now, &load, forward.ErrNotRun)
 		})
 	}
-	s.schedule(now.Add(linkDelay), func(now time.Time) { s.upstreams[t.ID].accept(now, j) })
+	s.schedule(now.Add(linkDelay), func(now time.Time) { s.upstreams[rsv.ID].accept(now, j) })
 	s.schedule(until, func(now time.Time) { end(now, nil, errTimeout) })
 }
 
 // ended handles the end of an attempt: the request is done, or its next attempt is
 // decided.
-func (r *request) ended(now time.Time, t *upstream.Reservation, rep upstream.AttemptResult, err error) {
+func (r *request) ended(now time.Time, rsv *upstream.Reservation, rep upstream.AttemptResult, err error) {
 	s := r.caller.site
 	if err != nil {
 		rep.TimePerUnit = 0
 		rep.Failed = !forward.RecordRefusal(&rep, err, forward.BusyBackoff)
 	}
-	t.Done(rep)
+	rsv.Done(rep)
 	status := 0
 	if err == nil {
 		status = http.StatusOK
 	}
-	done, err := r.plan.EndAttempt(t.ID, status, err, now)
+	done, err := r.plan.EndAttempt(rsv.ID, status, err, now)
 	switch {
 	case done && err == nil:
 		r.instance.retries.Served(pool, now)
--- a/internal/loadsim/step.go
+++ b/internal/loadsim/step.go
@@ -115,18 +115,18 @@
 // place starts items in the order of the run while there is a free slot.
 func (s *step) place(now time.Time) {
 	for _, i := range s.run.Waiting(now) {
-		t, ok := s.registry.Acquire(s.requirements(i, now))
+		rsv, ok := s.registry.Acquire(s.requirements(i, now))
 		if !ok {
 			return
 		}
 		s.run.Started(i, now)
 		interval := s.load.EventInterval
 		for slow := range s.load.SlowEngines {
-			if t.ID == fmt.Sprintf("i-%02d", slow) {
+			if rsv.ID == fmt.Sprintf("i-%02d", slow) {
 				interval = time.Duration(s.load.SlowFactor * float64(interval))
 			}
 		}
-		s.next(now, i, t, interval)
+		s.next(now, i, rsv, interval)
 	}
 }
 
@@ -137,29 +137,29 @@
 
 // next schedules the next events of item i at the reserved engine. After them it ends
 // the item, moves it if a faster engine is available, or goes on here.
-func (s *step) next(now time.Time, i int, t *upstream.Reservation, interval time.Duration) {
+func (s *step) next(now time.Time, i int, rsv *upstream.Reservation, interval time.Duration) {
 	n := min(submission.FlushEvents, s.events[i]-s.generated[i])
 	s.schedule(now.Add(time.Duration(n)*interval), func(now time.Time) {
-		p := submission.AttemptOutput{Versions: []uint64{1}, Status: http.StatusOK}
+		out := submission.AttemptOutput{Versions: []uint64{1}, Status: http.StatusOK}
 		for range n {
 			s.generated[i]++
-			p.Events = append(p.Events, submission.Event{ID: s.generated[i], Version: 1})
+			out.Events = append(out.Events, submission.Event{ID: s.generated[i], Version: 1})
 		}
-		t.Observe(upstream.AttemptResult{At: now, TimePerUnit: interval})
+		rsv.Observe(upstream.AttemptResult{At: now, TimePerUnit: interval})
 		switch {
 		case s.generated[i] == s.events[i]:
-			t.Done(upstream.AttemptResult{At: now, TimePerUnit: interval})
-			p.Complete = true
-			s.run.AttemptEnded(i, p, submission.ItemPolicy{MaxAttempts: 1}, now)
+			rsv.Done(upstream.AttemptResult{At: now, TimePerUnit: interval})
+			out.Complete = true
+			s.run.AttemptEnded(i, out, submission.ItemPolicy{MaxAttempts: 1}, now)
 			s.finished(now, i/s.load.GroupSize)
-		case s.policy.MoveTexts && t.FasterAvailable(s.requirements(i, now), submission.SlowEngineFactor):
+		case s.policy.MoveTexts && rsv.FasterAvailable(s.requirements(i, now), submission.SlowEngineFactor):
 			s.moves++
-			t.Done(upstream.AttemptResult{At: now, TimePerUnit: interval})
-			s.run.AttemptEnded(i, p, submission.ItemPolicy{MaxAttempts: 1}, now)
+			rsv.Done(upstream.AttemptResult{At: now, TimePerUnit: interval})
+			s.run.AttemptEnded(i, out, submission.ItemPolicy{MaxAttempts: 1}, now)
 			s.place(now)
 		default:
-			s.run.AddEvents(i, p, submission.ItemPolicy{MaxAttempts: 1})
-			s.next(now, i, t, interval)
+			s.run.AddEvents(i, out, submission.ItemPolicy{MaxAttempts: 1})
+			s.next(now, i, rsv, interval)
 		}
 	})
 }
--- a/internal/loadsim/timeline.go
+++ b/internal/loadsim/timeline.go
@@ -12,15 +12,15 @@
 }
 
 // schedule schedules do at t.
-func (l *timeline) schedule(t time.Time, do func(now time.Time)) {
-	l.order++
-	heap.Push(&l.events, event{t, l.order, do})
+func (tl *timeline) schedule(t time.Time, do func(now time.Time)) {
+	tl.order++
+	heap.Push(&tl.events, event{t, tl.order, do})
 }
 
 // runEvents runs events, also those that they schedule, until there are none.
-func (l *timeline) runEvents() {
-	for len(l.events) > 0 {
-		e := heap.Pop(&l.events).(event)
+func (tl *timeline) runEvents() {
+	for len(tl.events) > 0 {
+		e := heap.Pop(&tl.events).(event)
 		e.do(e.at)
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -48,19 +48,19 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Proxy{target: target, ln: ln, conns: map[*trackedConn]bool{}}
-	r.group.Go(r.accept)
-	return r, nil
+	p := &Proxy{target: target, ln: ln, conns: map[*trackedConn]bool{}}
+	p.group.Go(p.accept)
+	return p, nil
 }
 
 // Addr returns the IP:port to connect to.
-func (r *Proxy) Addr() string { return r.ln.Addr().String() }
+func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
 // BlackholeOpen drops all further data of the connections now open, and keeps them open.
-func (r *Proxy) BlackholeOpen() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for c := range r.conns {
+func (p *Proxy) BlackholeOpen() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
 		c.mu.Lock()
 		c.blackholed = true
 		c.mu.Unlock()
@@ -69,55 +69,55 @@
 
 // BlackholeAll drops all further data of open and future connections, and keeps them
 // open, as a network partition does.
-func (r *Proxy) BlackholeAll() {
-	r.mu.Lock()
-	r.blackholeNew = true
-	r.mu.Unlock()
-	r.BlackholeOpen()
+func (p *Proxy) BlackholeAll() {
+	p.mu.Lock()
+	p.blackholeNew = true
+	p.mu.Unlock()
+	p.BlackholeOpen()
 }
 
 // Close closes the listener and all connections, and waits for their goroutines.
-func (r *Proxy) Close() {
-	r.ln.Close()
-	r.mu.Lock()
-	for c := range r.conns {
+func (p *Proxy) Close() {
+	p.ln.Close()
+	p.mu.Lock()
+	for c := range p.conns {
 		c.Close()
 	}
-	r.mu.Unlock()
-	_ = r.group.Wait()
+	p.mu.Unlock()
+	_ = p.group.Wait()
 }
 
 // accept forwards connections until the listener is closed. A connection is closed at
 // once if the target does not accept one.
-func (r *Proxy) accept() error {
+func (p *Proxy) accept() error {
 	for {
-		in, err := r.ln.Accept()
+		in, err := p.ln.Accept()
 		if err != nil {
 			return nil
 		}
-		out, err := net.Dial("tcp", r.target)
+		out, err := net.Dial("tcp", p.target)
 		if err != nil {
 			in.Close()
 			continue
 		}
-		a, b := r.track(in), r.track(out)
-		r.group.Go(func() error { r.copy(a, b); return nil })
-		r.group.Go(func() error { r.copy(b, a); return nil })
+		a, b := p.track(in), p.track(out)
+		p.group.Go(func() error { p.copy(a, b); return nil })
+		p.group.Go(func() error { p.copy(b, a); return nil })
 	}
 }
 
 // track registers a connection.
-func (r *Proxy) track(c net.Conn) *trackedConn {
-	r.mu.Lock()
-	t := &trackedConn{Conn: c, blackholed: r.blackholeNew}
-	r.conns[t] = true
-	r.mu.Unlock()
+func (p *Proxy) track(c net.Conn) *trackedConn {
+	p.mu.Lock()
+	t := &trackedConn{Conn: c, blackholed: p.blackholeNew}
+	p.conns[t] = true
+	p.mu.Unlock()
 	return t
 }
 
 // copy forwards data from src to dst until src ends, and closes both. dst stays open if
 // it is blackholed: a lost connection's end is not seen at the other side.
-func (r *Proxy) copy(dst, src *trackedConn) {
+func (p *Proxy) copy(dst, src *trackedConn) {
 	_, _ = io.Copy(dst, src)
 	dst.mu.Lock()
 	blackholed := dst.blackholed
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -94,12 +94,12 @@
 	for i := 0; i < cfg.Engines; i++ {
 		ec := cfg.Engine
 		ec.Name = fmt.Sprintf("engine-%d", i)
-		e := enginetest.New(ec)
-		up, err := s.serveUpstream(gctx, e.Handler())
+		eng := enginetest.New(ec)
+		up, err := s.serveUpstream(gctx, eng.Handler())
 		if err != nil {
 			return nil, err
 		}
-		s.Engines, s.EngineAddrs, s.engines = append(s.Engines, e), append(s.EngineAddrs, up.Address()), append(s.engines, up)
+		s.Engines, s.EngineAddrs, s.engines = append(s.Engines, eng), append(s.EngineAddrs, up.Address()), append(s.engines, up)
 	}
 	for i := 0; i < cfg.Entries; i++ {
 		if err := s.StartEntry(fmt.Sprintf("entry-%d", i)); err != nil {
@@ -210,8 +210,8 @@
 
 // applied reports whether v has the row versions in out.
 func applied(v *entry.View, out []catalogue.SyncResult) bool {
-	for _, o := range out {
-		if v.RowVersions[o.Key] < o.Version {
+	for _, res := range out {
+		if v.RowVersions[res.Key] < res.Version {
 			return false
 		}
 	}
--- a/internal/snapshot/versions.go
+++ b/internal/snapshot/versions.go
@@ -134,13 +134,13 @@
 		byCentre[e.DataCentre][v]++
 	}
 	for _, dc := range slices.Sorted(maps.Keys(byCentre)) {
-		c := EngineVersions{DataCentre: dc, Counts: newestFirst(byCentre[dc])}
-		for _, h := range c.Counts {
-			if h.Version < out.MinVersion {
-				c.TooOld += h.Count
+		ev := EngineVersions{DataCentre: dc, Counts: newestFirst(byCentre[dc])}
+		for _, vc := range ev.Counts {
+			if vc.Version < out.MinVersion {
+				ev.TooOld += vc.Count
 			}
 		}
-		out.DataCentres = append(out.DataCentres, c)
+		out.DataCentres = append(out.DataCentres, ev)
 	}
 	return out
 }
@@ -164,8 +164,8 @@
 	}
 	for _, m := range v.Models {
 		fmt.Fprintf(t, "model %s\tversion %d named\t%s\n", m.Model, m.TargetVersion, m.requiredText())
-		for _, c := range m.DataCentres {
-			fmt.Fprintf(t, "  %s\tengines at %s\t%d too old\n", c.DataCentre, countsText(c.Counts), c.TooOld)
+		for _, ev := range m.DataCentres {
+			fmt.Fprintf(t, "  %s\tengines at %s\t%d too old\n", ev.DataCentre, countsText(ev.Counts), ev.TooOld)
 		}
 	}
 	return t.Flush()
--- a/pkg/catalogue/file.go
+++ b/pkg/catalogue/file.go
@@ -85,11 +85,11 @@
 	}
 	var out []SyncResult
 	for _, it := range items {
-		o, err := syncItem(ctx, c, it.key, it.value, author, now)
+		res, err := syncItem(ctx, c, it.key, it.value, author, now)
 		if err != nil {
 			return out, err
 		}
-		out = append(out, o)
+		out = append(out, res)
 	}
 	return out, nil
 }
--- a/pkg/customer/customer.go
+++ b/pkg/customer/customer.go
@@ -46,47 +46,47 @@
 // NewIndex returns the index of entries. It returns an error if a customer has no name,
 // or if two customers have the same name or key.
 func NewIndex(entries []Entry) (*Index, error) {
-	x := &Index{byKey: map[Digest]Customer{}, byName: map[string]Entry{}}
+	ix := &Index{byKey: map[Digest]Customer{}, byName: map[string]Entry{}}
 	for _, e := range entries {
-		if _, exists := x.byName[e.Name]; exists || e.Name == "" {
+		if _, exists := ix.byName[e.Name]; exists || e.Name == "" {
 			return nil, fmt.Errorf("customer: name %q is empty or not unique", e.Name)
 		}
-		x.byName[e.Name] = e
+		ix.byName[e.Name] = e
 		for _, key := range e.Keys {
-			if other, exists := x.byKey[key]; exists && other.Name != e.Name {
+			if other, exists := ix.byKey[key]; exists && other.Name != e.Name {
 				return nil, fmt.Errorf("customer: %s and %s have the same key", other.Name, e.Name)
 			}
-			x.byKey[key] = e.Customer
+			ix.byKey[key] = e.Customer
 		}
 	}
-	return x, nil
+	return ix, nil
 }
 
 // FindByKey returns the customer that has key. Keys are compared by their digests, so
 // that the time a comparison takes reveals nothing of the key.
-func (x *Index) FindByKey(key string) (Customer, bool) {
-	if x == nil || key == "" {
+func (ix *Index) FindByKey(key string) (Customer, bool) {
+	if ix == nil || key == "" {
 		return Customer{}, false
 	}
-	c, ok := x.byKey[DigestOf(key)]
+	c, ok := ix.byKey[DigestOf(key)]
 	return c, ok
 }
 
 // FindByName returns the customer with a name.
-func (x *Index) FindByName(name string) (Customer, bool) {
-	if x == nil {
+func (ix *Index) FindByName(name string) (Customer, bool) {
+	if ix == nil {
 		return Customer{}, false
 	}
-	e, ok := x.byName[name]
+	e, ok := ix.byName[name]
 	return e.Customer, ok
 }
 
 // Len returns the number of customers.
-func (x *Index) Len() int {
-	if x == nil {
+func (ix *Index) Len() int {
+	if ix == nil {
 		return 0
 	}
-	return len(x.byName)
+	return len(ix.byName)
 }
 
 // Diff lists the names of customers that differ between two indexes.
@@ -99,10 +99,10 @@
 // Empty reports whether there is no difference.
 func (d Diff) Empty() bool { return len(d.Added)+len(d.Removed)+len(d.KeysChanged) == 0 }
 
-// Compare returns what has changed from old to x. Either may be nil.
-func (x *Index) Compare(old *Index) Diff {
+// Compare returns what has changed from old to ix. Either may be nil.
+func (ix *Index) Compare(old *Index) Diff {
 	var d Diff
-	before, after := old.entries(), x.entries()
+	before, after := old.entries(), ix.entries()
 	for _, name := range slices.Sorted(maps.Keys(after)) {
 		switch previous, ok := before[name]; {
 		case !ok:
@@ -119,11 +119,11 @@
 	return d
 }
 
-func (x *Index) entries() map[string]Entry {
-	if x == nil {
+func (ix *Index) entries() map[string]Entry {
+	if ix == nil {
 		return nil
 	}
-	return x.byName
+	return ix.byName
 }
 
 func sameKeys(a, b Entry) bool {
--- a/pkg/delivery/record.go
+++ b/pkg/delivery/record.go
@@ -30,18 +30,18 @@
 	CreatedAt     time.Time `json:"created_at"`
 }
 
-// oldest returns the oldest weight version that produced any of d's samples, or 0 if a
+// oldest returns the oldest weight version that produced any of r's samples, or 0 if a
 // sample has no version.
-func (d Record) oldest() uint64 {
+func (r Record) oldest() uint64 {
 	oldest := uint64(math.MaxUint64)
-	for _, s := range d.Samples {
+	for _, s := range r.Samples {
 		oldest = min(oldest, s.OldestVersion())
 	}
 	return oldest
 }
 
-// wrote reports whether row was written by the attempt that created d.
-func (d Record) wrote(row platform.Row) bool {
+// wrote reports whether row was written by the attempt that created r.
+func (r Record) wrote(row platform.Row) bool {
 	var other Record
-	return json.Unmarshal(row.Value, &other) == nil && other.Holder == d.Holder
+	return json.Unmarshal(row.Value, &other) == nil && other.Holder == r.Holder
 }
--- a/pkg/delivery/sender.go
+++ b/pkg/delivery/sender.go
@@ -78,34 +78,34 @@
 // RecordAndSend records and sends one sample, and returns its ID, or "" if the sample is
 // too old. It waits neither for the trainer nor for a platform that is unavailable.
 func (s *Sender) RecordAndSend(ctx context.Context, e catalogue.Entry, smp trainer.Sample) string {
-	d := s.NewRecord(e, smp.ID, smp)
-	switch _, err := s.CommitRecord(ctx, e, d); {
+	r := s.NewRecord(e, smp.ID, smp)
+	switch _, err := s.CommitRecord(ctx, e, r); {
 	case errors.Is(err, ErrTooStale):
 		s.cfg.Counters.Stale.Inc(1)
 		return ""
 	case errors.Is(err, ErrAlreadyRecorded):
 	case err != nil:
-		s.RunAsync(ctx, d, func(ctx context.Context) error { return s.recordThenSend(ctx, e, d) })
+		s.RunAsync(ctx, r, func(ctx context.Context) error { return s.recordThenSend(ctx, e, r) })
 	default:
-		s.RunAsync(ctx, d, func(ctx context.Context) error { return s.send(ctx, d) })
+		s.RunAsync(ctx, r, func(ctx context.Context) error { return s.send(ctx, r) })
 	}
 	return smp.ID
 }
 
-// RunAsync runs send in the background with SendTimeout. It logs an error of send with d's
+// RunAsync runs send in the background with SendTimeout. It logs an error of send with r's
 // key.
-func (s *Sender) RunAsync(ctx context.Context, d Record, send func(context.Context) error) {
+func (s *Sender) RunAsync(ctx context.Context, r Record, send func(context.Context) error) {
 	s.cfg.Go(func() error {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), SendTimeout)
 		defer cancel()
 		if err := send(ctx); err != nil {
-			s.cfg.Logger.Warn("samples left for the sweeper", "record", d.Key, "err", err)
+			s.cfg.Logger.Warn("samples left for the sweeper", "record", r.Key, "err", err)
 		}
 		return nil
 	})
 }
 
-// CommitRecord writes d and commits ops in one transaction. The transaction succeeds only
+// CommitRecord writes r and commits ops in one transaction. The transaction succeeds only
 // if the pool's target weight version is still the one that the samples were checked
 // against, so that a recorded sample is within its limit at that moment.
 //
@@ -113,8 +113,8 @@
 // request created the record. After any other error it is unknown whether the record was
 // written, and CommitRecord may be called again. The returned version is that of the rows
 // written, or 0 if an earlier call wrote them and its response was lost.
-func (s *Sender) CommitRecord(ctx context.Context, e catalogue.Entry, d Record, ops ...platform.Op) (version uint64, err error) {
-	put, err := platform.Put(d.Key, 0, d)
+func (s *Sender) CommitRecord(ctx context.Context, e catalogue.Entry, r Record, ops ...platform.Op) (version uint64, err error) {
+	put, err := platform.Put(r.Key, 0, r)
 	if err != nil {
 		return 0, err
 	}
@@ -122,7 +122,7 @@
 	view := s.cfg.View()
 	newest, target := view.NewestVersions[e.Pool], view.RowVersions[targetKey]
 	for {
-		if oldest := d.oldest(); oldest == 0 || oldest+e.MaxVersionLag < newest {
+		if oldest := r.oldest(); oldest == 0 || oldest+e.MaxVersionLag < newest {
 			return 0, ErrTooStale
 		}
 		rows, err := s.cfg.Platform.Commit(ctx, append([]platform.Op{put, platform.Check(targetKey, target)}, ops...)...)
@@ -138,9 +138,9 @@
 				return 0, err
 			}
 			newest, target = t.Version, ce.Current.Version
-		case ce.Key == d.Key && d.wrote(ce.Current):
+		case ce.Key == r.Key && r.wrote(ce.Current):
 			return 0, nil
-		case ce.Key == d.Key:
+		case ce.Key == r.Key:
 			return 0, ErrAlreadyRecorded
 		default:
 			return 0, err
@@ -152,13 +152,13 @@
 // unavailable.
 const recordRetryDelay = 100 * time.Millisecond
 
-// recordThenSend records d, retrying until the platform is available, and then sends the
+// recordThenSend records r, retrying until the platform is available, and then sends the
 // samples. Samples are not sent without a record because their age could not be checked.
-func (s *Sender) recordThenSend(ctx context.Context, e catalogue.Entry, d Record) error {
+func (s *Sender) recordThenSend(ctx context.Context, e catalogue.Entry, r Record) error {
 	for {
-		switch _, err := s.CommitRecord(ctx, e, d); {
+		switch _, err := s.CommitRecord(ctx, e, r); {
 		case err == nil:
-			return s.send(ctx, d)
+			return s.send(ctx, r)
 		case errors.Is(err, ErrAlreadyRecorded):
 			return nil
 		case errors.Is(err, ErrTooStale):
@@ -172,26 +172,26 @@
 	}
 }
 
-// send sends the recorded samples of d and then deletes the record.
-func (s *Sender) send(ctx context.Context, d Record) error {
-	if _, err := s.Deliver(ctx, d); err != nil {
+// send sends the recorded samples of r and then deletes the record.
+func (s *Sender) send(ctx context.Context, r Record) error {
+	if _, err := s.Deliver(ctx, r); err != nil {
 		return err
 	}
-	return s.DeleteRecord(ctx, d.Key)
+	return s.DeleteRecord(ctx, r.Key)
 }
 
-// Deliver sends the recorded samples of d to their trainer, and reports whether the trainer
+// Deliver sends the recorded samples of r to their trainer, and reports whether the trainer
 // accepted all of them. It returns false and no error if samples are too old. Samples that
 // became too old after they were recorded are not sent.
-func (s *Sender) Deliver(ctx context.Context, d Record) (accepted bool, err error) {
-	if e, ok := s.cfg.View().Entries[d.Entry]; ok && s.cfg.View().VersionTooOld(e, d.oldest()) {
-		s.cfg.Counters.Stale.Inc(int64(len(d.Samples)))
+func (s *Sender) Deliver(ctx context.Context, r Record) (accepted bool, err error) {
+	if e, ok := s.cfg.View().Entries[r.Entry]; ok && s.cfg.View().VersionTooOld(e, r.oldest()) {
+		s.cfg.Counters.Stale.Inc(int64(len(r.Samples)))
 		return false, nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(s.cfg.SendContext, cancel)()
-	tc := trainer.NewClient(d.Trainer, s.cfg.HTTP)
+	tc := trainer.NewClient(r.Trainer, s.cfg.HTTP)
 	var ack trainer.Ack
 	for try := range maxSends {
 		if try > 0 {
@@ -200,13 +200,13 @@
 				return false, ctx.Err()
 			}
 		}
-		if ack, err = tc.Deliver(ctx, trainer.Group{Samples: d.Samples, MaxVersionLag: d.MaxVersionLag}); err == nil {
-			s.cfg.Counters.Delivered.Inc(int64(len(d.Samples) - len(ack.Stale)))
+		if ack, err = tc.Deliver(ctx, trainer.Group{Samples: r.Samples, MaxVersionLag: r.MaxVersionLag}); err == nil {
+			s.cfg.Counters.Delivered.Inc(int64(len(r.Samples) - len(ack.Stale)))
 			s.cfg.Counters.Stale.Inc(int64(len(ack.Stale)))
 			return len(ack.Stale) == 0, nil
 		}
 	}
-	return false, fmt.Errorf("send samples of record %s: %w", d.Key, err)
+	return false, fmt.Errorf("send samples of record %s: %w", r.Key, err)
 }
 
 // DeleteRecord deletes the record at key if it exists. It reads the record's version first,
--- a/pkg/delivery/sweep.go
+++ b/pkg/delivery/sweep.go
@@ -19,22 +19,22 @@
 	}
 	byTrainer := map[string][]Record{}
 	for _, row := range rows {
-		var d Record
-		if err := json.Unmarshal(row.Value, &d); err != nil || !d.CreatedAt.Before(olderThan) {
+		var r Record
+		if err := json.Unmarshal(row.Value, &r); err != nil || !r.CreatedAt.Before(olderThan) {
 			continue
 		}
-		d.Key = row.Key
-		byTrainer[d.Trainer] = append(byTrainer[d.Trainer], d)
+		r.Key = row.Key
+		byTrainer[r.Trainer] = append(byTrainer[r.Trainer], r)
 	}
 	var sent atomic.Int64
 	var trainers errgroup.Group
 	for _, ds := range byTrainer {
 		trainers.Go(func() error {
-			for _, d := range ds {
-				if err := s.send(ctx, d); err != nil {
+			for _, r := range ds {
+				if err := s.send(ctx, r); err != nil {
 					return err
 				}
-				s.cfg.Counters.Redelivered.Inc(int64(len(d.Samples)))
+				s.cfg.Counters.Redelivered.Inc(int64(len(r.Samples)))
 				sent.Add(1)
 			}
 			return nil
--- a/pkg/entry/servicecall.go
+++ b/pkg/entry/servicecall.go
@@ -134,12 +134,12 @@
 	var last error
 	for cs.running > 0 {
 		select {
-		case o := <-cs.results:
+		case res := <-cs.results:
 			cs.running--
-			if o.err == nil || verdict.Of(o.err) == verdict.Ran {
-				return o.ans, o.err
+			if res.err == nil || verdict.Of(res.err) == verdict.Ran {
+				return res.ans, res.err
 			}
-			last = o.err
+			last = res.err
 		case <-hedge.C:
 			c.in.stats.hedges.Inc(1)
 		}
--- a/pkg/entry/tokentimer.go
+++ b/pkg/entry/tokentimer.go
@@ -21,23 +21,23 @@
 }
 
 // received records that a chunk was received.
-func (w *tokenTimer) received() {
-	now := w.clock.Now()
-	if !w.last.IsZero() {
-		gap := now.Sub(w.last)
-		w.gaps++
-		w.sum += gap
-		w.longest = max(w.longest, gap)
+func (t *tokenTimer) received() {
+	now := t.clock.Now()
+	if !t.last.IsZero() {
+		gap := now.Sub(t.last)
+		t.gaps++
+		t.sum += gap
+		t.longest = max(t.longest, gap)
 	}
-	w.last = now
+	t.last = now
 }
 
 // record adds the mean time between the chunks of the stream to tokenTimes, also if the stream
 // was abandoned. It leaves out the longest gap, because the engine may have been loading
 // weights.
-func (w *tokenTimer) record(tokenTimes *health.TokenTimes, addr string) {
-	if w.gaps < minTokenGaps {
+func (t *tokenTimer) record(tokenTimes *health.TokenTimes, addr string) {
+	if t.gaps < minTokenGaps {
 		return
 	}
-	tokenTimes.Observe(addr, (w.sum-w.longest)/time.Duration(w.gaps-1), w.last)
+	tokenTimes.Observe(addr, (t.sum-t.longest)/time.Duration(t.gaps-1), t.last)
 }
--- a/pkg/entry/watchdog.go
+++ b/pkg/entry/watchdog.go
@@ -35,71 +35,71 @@
 // startWatchdog starts monitoring the attempt of request id at the engine at addr. cancel
 // must cancel ctx, which is the attempt's context.
 func (in *Instance) startWatchdog(ctx context.Context, cancel context.CancelCauseFunc, addr, id string) *watchdog {
-	s := &watchdog{in: in, ctx: ctx, cancel: cancel, addr: addr, id: id}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.timer = time.AfterFunc(in.cfg.IdleTimeout, s.expire)
-	return s
+	w := &watchdog{in: in, ctx: ctx, cancel: cancel, addr: addr, id: id}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer = time.AfterFunc(in.cfg.IdleTimeout, w.expire)
+	return w
 }
 
 // received records that a chunk was received.
-func (s *watchdog) received() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.started, s.idleReports = true, 0
-	s.timer.Reset(s.in.cfg.IdleTimeout)
+func (w *watchdog) received() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.started, w.idleReports = true, 0
+	w.timer.Reset(w.in.cfg.IdleTimeout)
 }
 
 // stop stops the watchdog.
-func (s *watchdog) stop() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.timer.Stop()
+func (w *watchdog) stop() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer.Stop()
 }
 
 // expire runs when no chunk has been received for IdleTimeout.
-func (s *watchdog) expire() {
-	explained, err := s.checkEngine()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.ctx.Err() != nil {
+func (w *watchdog) expire() {
+	explained, err := w.checkEngine()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.ctx.Err() != nil {
 		return
 	}
 	if explained {
-		s.idleReports = 0
+		w.idleReports = 0
 	} else {
-		s.idleReports++
+		w.idleReports++
 	}
-	if err != nil || s.idleReports >= maxIdleReports {
-		s.cancel(errIdleTimeout)
+	if err != nil || w.idleReports >= maxIdleReports {
+		w.cancel(errIdleTimeout)
 		return
 	}
-	s.timer.Reset(s.in.cfg.IdleTimeout)
+	w.timer.Reset(w.in.cfg.IdleTimeout)
 }
 
 // hasStarted reports whether a chunk has been received.
-func (s *watchdog) hasStarted() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.started
+func (w *watchdog) hasStarted() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.started
 }
 
 // checkEngine reads the engine's load report and reports whether it explains the silence.
 // It returns an error if the engine does not respond. Queued requests explain the silence
 // only if this request is one of them: it may have been lost, or have run and its response
 // been lost.
-func (s *watchdog) checkEngine() (explained bool, err error) {
-	ctx, cancel := context.WithTimeout(s.ctx, s.in.cfg.IdleTimeout)
+func (w *watchdog) checkEngine() (explained bool, err error) {
+	ctx, cancel := context.WithTimeout(w.ctx, w.in.cfg.IdleTimeout)
 	defer cancel()
-	client := engine.NewClient(s.addr, s.in.reportHTTP)
+	client := engine.NewClient(w.addr, w.in.reportHTTP)
 	rep, err := client.LoadReport(ctx)
 	if err != nil || rep.Loading {
 		return rep.Loading, err
 	}
-	if s.hasStarted() || rep.Queued == 0 {
+	if w.hasStarted() || rep.Queued == 0 {
 		return false, nil
 	}
-	st, err := client.RequestStatus(ctx, s.id)
+	st, err := client.RequestStatus(ctx, w.id)
 	if errors.Is(err, engine.ErrNoStatus) {
 		return true, nil
 	}
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -143,15 +143,15 @@
 		if err := f.cfg.Guard.Check(r.content(), now); err != nil {
 			return Response{}, f.finalError(plan, pool, now, err)
 		}
-		t, wait := plan.Next(f.cfg.Registry, upstream.Requirements{Pool: pool, Now: now, Affinity: affinity})
-		if t == nil && wait > 0 && clock.Sleep(ctx, wait) {
+		rsv, wait := plan.Next(f.cfg.Registry, upstream.Requirements{Pool: pool, Now: now, Affinity: affinity})
+		if rsv == nil && wait > 0 && clock.Sleep(ctx, wait) {
 			continue
 		}
-		if t == nil {
+		if rsv == nil {
 			return Response{}, f.finalError(plan, pool, now, errNoCapacity)
 		}
-		a, err := f.attempt(ctx, plan, t, rt, r)
-		done, err := plan.EndAttempt(t.ID, a.Status, err, time.Now())
+		a, err := f.attempt(ctx, plan, rsv, rt, r)
+		done, err := plan.EndAttempt(rsv.ID, a.Status, err, time.Now())
 		switch {
 		case done && err == nil:
 			f.retries.Served(pool, time.Now())
@@ -165,24 +165,24 @@
 var errNoCapacity = errors.New("no upstream has capacity for the request")
 
 // attempt sends r once to the reserved upstream.
-func (f *Forwarder) attempt(ctx context.Context, plan *Plan, t *upstream.Reservation, rt routetable.Route, r Request) (Response, error) {
-	guarded, err := f.cfg.Guard.Begin(ctx, r.content(), t.Entry)
+func (f *Forwarder) attempt(ctx context.Context, plan *Plan, rsv *upstream.Reservation, rt routetable.Route, r Request) (Response, error) {
+	guarded, err := f.cfg.Guard.Begin(ctx, r.content(), rsv.Entry)
 	if err != nil {
-		t.Release()
+		rsv.Release()
 		return Response{}, err
 	}
 	start := time.Now()
 	actx, cancel := context.WithDeadline(ctx, plan.AttemptDeadline(start))
 	defer cancel()
-	a, load, err := f.cfg.Transport.Send(actx, t.Entry, r)
+	a, load, err := f.cfg.Transport.Send(actx, rsv.Entry, r)
 	rep := resultOf(ctx, actx, err, load)
 	if err == nil {
 		rep.TimePerUnit = rep.At.Sub(start)
 		f.lastLatency.Store(int64(rep.TimePerUnit))
 		rep.Failed = a.Status >= http.StatusInternalServerError
 	}
-	t.Done(rep)
-	seen := Attempt{Request: r.ID, Content: r.content(), Route: rt.Name, Customer: r.Customer, Upstream: t.ID, Number: len(plan.Tried()) + 1, Status: a.Status, Took: rep.At.Sub(start), Err: err}
+	rsv.Done(rep)
+	seen := Attempt{Request: r.ID, Content: r.content(), Route: rt.Name, Customer: r.Customer, Upstream: rsv.ID, Number: len(plan.Tried()) + 1, Status: a.Status, Took: rep.At.Sub(start), Err: err}
 	if !errors.Is(err, ErrNotRun) && !plan.MayHaveRun() {
 		seen.StartedAt = start
 	}
--- a/pkg/forward/plan.go
+++ b/pkg/forward/plan.go
@@ -80,18 +80,18 @@
 
 // Next reserves the upstream for the next attempt, or returns how long to wait before
 // calling Next again. If it returns nil and 0, the request must be rejected.
-func (p *Plan) Next(r *upstream.Registry, w upstream.Requirements) (*upstream.Reservation, time.Duration) {
-	w.Exclude = p.tried
-	if t, ok := r.Acquire(w); ok {
-		return t, 0
+func (p *Plan) Next(r *upstream.Registry, req upstream.Requirements) (*upstream.Reservation, time.Duration) {
+	req.Exclude = p.tried
+	if rsv, ok := r.Acquire(req); ok {
+		return rsv, 0
 	}
 	if len(p.tried) > 0 && p.MayRetry() {
 		// Every upstream has been tried. One that was busy may have capacity now.
-		if t, ok := r.Acquire(upstream.Requirements{Pool: w.Pool, Now: w.Now}); ok {
-			return t, 0
+		if rsv, ok := r.Acquire(upstream.Requirements{Pool: req.Pool, Now: req.Now}); ok {
+			return rsv, 0
 		}
 	}
-	if p.MayWait(w.Now) {
+	if p.MayWait(req.Now) {
 		return nil, pollInterval
 	}
 	return nil, 0
--- a/pkg/forward/retryscheduler.go
+++ b/pkg/forward/retryscheduler.go
@@ -35,10 +35,10 @@
 }
 
 // decay applies the decay until now.
-func (f *poolCounts) decay(now time.Time) {
-	if age := now.Sub(f.at); age > 0 {
+func (c *poolCounts) decay(now time.Time) {
+	if age := now.Sub(c.at); age > 0 {
 		keep := math.Exp(-float64(age) / float64(countWindow))
-		f.served, f.rejected, f.at = f.served*keep, f.rejected*keep, now
+		c.served, c.rejected, c.at = c.served*keep, c.rejected*keep, now
 	}
 }
 
@@ -47,13 +47,13 @@
 	if r.pools == nil {
 		r.pools = map[string]*poolCounts{}
 	}
-	f := r.pools[pool]
-	if f == nil {
-		f = &poolCounts{at: now}
-		r.pools[pool] = f
+	c := r.pools[pool]
+	if c == nil {
+		c = &poolCounts{at: now}
+		r.pools[pool] = c
 	}
-	f.decay(now)
-	return f
+	c.decay(now)
+	return c
 }
 
 // Served counts a request that the pool served.
@@ -67,9 +67,9 @@
 // may retry. deadline is the caller's deadline. draw is a uniform random number in [0, 1).
 func (r *RetryScheduler) Reject(pool string, now, deadline time.Time, draw float64) time.Time {
 	r.mu.Lock()
-	f := r.counts(pool, now)
-	f.rejected++
-	served, rejected := f.served, f.rejected
+	c := r.counts(pool, now)
+	c.rejected++
+	served, rejected := c.served, c.rejected
 	r.mu.Unlock()
 	most := time.Duration(maxDelayShare * float64(max(deadline.Sub(now), 0)))
 	first := min(minRetryDelay, most)
--- a/pkg/forward/stream.go
+++ b/pkg/forward/stream.go
@@ -78,19 +78,19 @@
 		if err := f.cfg.Guard.Check(r.content(), now); err != nil {
 			return s.finalError(now, err)
 		}
-		t, ok := f.cfg.Registry.Acquire(upstream.Requirements{Pool: pool, Now: now, Exclude: plan.Tried(), Model: r.Model, Affinity: prompt})
+		rsv, ok := f.cfg.Registry.Acquire(upstream.Requirements{Pool: pool, Now: now, Exclude: plan.Tried(), Model: r.Model, Affinity: prompt})
 		if !ok && plan.MayWait(now) && clock.Sleep(ctx, pollInterval) {
 			continue
 		}
 		if !ok {
 			return s.finalError(now, errNoCapacity)
 		}
-		status, err := s.attempt(ctx, t)
+		status, err := s.attempt(ctx, rsv)
 		if err == nil && s.complete {
 			f.retries.Served(pool, time.Now())
 			return nil
 		}
-		done, err := plan.EndAttempt(t.ID, status, err, time.Now())
+		done, err := plan.EndAttempt(rsv.ID, status, err, time.Now())
 		if done {
 			return s.finalError(time.Now(), err)
 		}
@@ -120,10 +120,10 @@
 }
 
 // attempt sends the request to one upstream and relays the response.
-func (s *streamRequest) attempt(ctx context.Context, t *upstream.Reservation) (int, error) {
-	guarded, err := s.f.cfg.Guard.Begin(ctx, s.request.content(), t.Entry)
+func (s *streamRequest) attempt(ctx context.Context, rsv *upstream.Reservation) (int, error) {
+	guarded, err := s.f.cfg.Guard.Begin(ctx, s.request.content(), rsv.Entry)
 	if err != nil {
-		t.Release()
+		rsv.Release()
 		return 0, err
 	}
 	actx, cancel := context.WithCancel(ctx)
@@ -134,7 +134,7 @@
 		defer timeout.Stop()
 		onEvent = func(d time.Duration) { timeout.Reset(d) }
 	}
-	status, err := s.openAndRelay(ctx, actx, t, time.Now(), onEvent)
+	status, err := s.openAndRelay(ctx, actx, rsv, time.Now(), onEvent)
 	o := outcomeOf(actx, status, err)
 	if errors.Is(err, errCallerGone) {
 		o = quarantine.Abandoned
@@ -143,43 +143,43 @@
 	return status, err
 }
 
-func (s *streamRequest) openAndRelay(ctx, actx context.Context, t *upstream.Reservation, startedAt time.Time, onEvent func(time.Duration)) (int, error) {
-	o, load, err := s.f.cfg.Opener.Open(actx, t.Entry, s.request, s.lastEventID)
+func (s *streamRequest) openAndRelay(ctx, actx context.Context, rsv *upstream.Reservation, startedAt time.Time, onEvent func(time.Duration)) (int, error) {
+	resp, load, err := s.f.cfg.Opener.Open(actx, rsv.Entry, s.request, s.lastEventID)
 	events := 0
 	var firstAt time.Time // when the upstream was first known to work on the request
 	switch {
 	case err != nil:
-	case o.Events == nil:
+	case resp.Events == nil:
 		firstAt = startedAt
-		if !s.headerSent && (o.Status < http.StatusInternalServerError || !s.plan.MayRetry()) {
-			s.sink.Respond(o.Response)
+		if !s.headerSent && (resp.Status < http.StatusInternalServerError || !s.plan.MayRetry()) {
+			s.sink.Respond(resp.Response)
 			s.complete = true
 		}
 	default:
 		if !s.headerSent {
-			s.sink.Begin(o.Response)
+			s.sink.Begin(resp.Response)
 			s.headerSent = true
 		}
-		events, err = s.relay(o.Events, func(d time.Duration) {
+		events, err = s.relay(resp.Events, func(d time.Duration) {
 			if firstAt.IsZero() {
 				firstAt = time.Now()
 			}
 			onEvent(d)
 		})
-		o.Events.Close()
+		resp.Events.Close()
 	}
 	rep := resultOf(ctx, actx, err, load)
 	if events > 0 {
 		rep.TimePerUnit = time.Since(startedAt) / time.Duration(events)
 	}
-	rep.Failed = rep.Failed || err == nil && o.Status >= http.StatusInternalServerError
-	t.Done(rep)
-	seen := Attempt{Request: s.request.ID, Content: s.request.content(), Route: s.route.Name, Customer: s.request.Customer, Upstream: t.ID, Number: len(s.plan.Tried()) + 1, Status: o.Status, Took: time.Since(startedAt), Err: err}
+	rep.Failed = rep.Failed || err == nil && resp.Status >= http.StatusInternalServerError
+	rsv.Done(rep)
+	seen := Attempt{Request: s.request.ID, Content: s.request.content(), Route: s.route.Name, Customer: s.request.Customer, Upstream: rsv.ID, Number: len(s.plan.Tried()) + 1, Status: resp.Status, Took: time.Since(startedAt), Err: err}
 	if !s.startReported && !firstAt.IsZero() {
 		s.startReported, seen.StartedAt = true, firstAt
 	}
 	s.f.cfg.OnAttempt(seen)
-	return o.Status, err
+	return resp.Status, err
 }
 
 // relay sends events to the caller and returns how many it sent.
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -128,17 +128,17 @@
 	relayed, stale bool
 }
 
-// shared returns the Member of s if it equals m, and otherwise a new one: rosters are
-// compared by the addresses of their members in memory. s may be nil.
-func (s *record) shared(m Member) *Member {
-	if s != nil && *s.Member == m {
-		return s.Member
+// shared returns the Member of r if it equals m, and otherwise a new one: rosters are
+// compared by the addresses of their members in memory. r may be nil.
+func (r *record) shared(m Member) *Member {
+	if r != nil && *r.Member == m {
+		return r.Member
 	}
 	return &m
 }
 
 // staleAt returns when the row becomes stale.
-func (s *record) staleAt() time.Time { return s.changedAt.Add(s.ttl) }
+func (r *record) staleAt() time.Time { return r.changedAt.Add(r.ttl) }
 
 // NewView returns an empty View.
 func NewView() *View { return &View{members: map[string]*record{}, roster: NewRoster(nil)} }
@@ -186,11 +186,11 @@
 }
 
 // set stores the record of the member with the given name.
-func (v *View) set(name string, s *record) {
+func (v *View) set(name string, r *record) {
 	if i, found := slices.BinarySearch(v.names, name); !found {
 		v.names = slices.Insert(v.names, i, name)
 	}
-	v.members[name] = s
+	v.members[name] = r
 }
 
 // Decode returns the member described by a row of Table, and the lease that the row
@@ -224,25 +224,25 @@
 	if err != nil {
 		return err
 	}
-	s := &record{data: l.Data, version: row.Version, ttl: l.TTL(TTL(minPeriod)), changedAt: at}
-	advertisable := s.ttl <= TTL(advertisedPeriod)
+	r := &record{data: l.Data, version: row.Version, ttl: l.TTL(TTL(minPeriod)), changedAt: at}
+	advertisable := r.ttl <= TTL(advertisedPeriod)
 	if old != nil && old.StartID == l.Holder && old.Advertisable == advertisable && bytes.Equal(old.data, l.Data) {
-		s.Member = old.Member
+		r.Member = old.Member
 	} else {
 		m, err := decodeMember(row.Key, l)
 		if err != nil {
 			return err
 		}
 		m.Configuration, m.WatchSource, m.Advertisable = 0, "", advertisable
-		s.Member = old.shared(m)
+		r.Member = old.shared(m)
 	}
 	if old != nil && old.stale && old.version == row.Version {
-		s.changedAt = at.Add(-s.ttl) // it was stale before and has not been renewed since
+		r.changedAt = at.Add(-r.ttl) // it was stale before and has not been renewed since
 	}
-	if old == nil || old.Member != s.Member || !v.roster.has(name) || s.staleAt().Before(v.rosterUntil) {
+	if old == nil || old.Member != r.Member || !v.roster.has(name) || r.staleAt().Before(v.rosterUntil) {
 		v.changed = true
 	}
-	v.set(name, s)
+	v.set(name, r)
 	return nil
 }
 
@@ -251,9 +251,9 @@
 // renewed their rows unseen or could not renew them.
 func (v *View) ExtendAfterOutage(since, at time.Time) {
 	v.changed = true
-	for _, s := range v.members {
-		if since.Sub(s.changedAt) < s.ttl && s.changedAt.Before(at) {
-			s.changedAt = at
+	for _, r := range v.members {
+		if since.Sub(r.changedAt) < r.ttl && r.changedAt.Before(at) {
+			r.changedAt = at
 		}
 	}
 }
@@ -277,8 +277,8 @@
 // after at the time now. Such rows can be deleted.
 func (v *View) UnchangedFor(now time.Time, after time.Duration) []string {
 	var out []string
-	for name, s := range v.members {
-		if now.Sub(s.changedAt) > after {
+	for name, r := range v.members {
+		if now.Sub(r.changedAt) > after {
 			out = append(out, name)
 		}
 	}
@@ -291,8 +291,8 @@
 
 // StartIDOf returns the start ID in the row of the instance with the given name.
 func (v *View) StartIDOf(name string) (start string, ok bool) {
-	if s := v.members[name]; s != nil {
-		return s.StartID, true
+	if r := v.members[name]; r != nil {
+		return r.StartID, true
 	}
 	return "", false
 }
--- a/pkg/membership/relayed.go
+++ b/pkg/membership/relayed.go
@@ -22,20 +22,20 @@
 	Version uint64 `json:"version,omitempty"`
 }
 
-// Encode returns t as a row value for ApplyRelayed.
-func (t RelayedMember) Encode() (json.RawMessage, error) { return json.Marshal(t) }
+// Encode returns m as a row value for ApplyRelayed.
+func (m RelayedMember) Encode() (json.RawMessage, error) { return json.Marshal(m) }
 
 // RelayedMembers returns all members at now, in no order, as seen by the instance named
 // self.
 func (v *View) RelayedMembers(now time.Time, self string) []RelayedMember {
 	live := v.Roster(now, self)
 	out := make([]RelayedMember, 0, len(v.members))
-	for _, s := range v.members {
-		t := RelayedMember{Member: *s.Member, StartID: s.StartID, Advertisable: s.Advertisable}
-		if !live.HasStartID(s.StartID) {
-			t.Stale, t.Version = true, s.version
+	for _, r := range v.members {
+		m := RelayedMember{Member: *r.Member, StartID: r.StartID, Advertisable: r.Advertisable}
+		if !live.HasStartID(r.StartID) {
+			m.Stale, m.Version = true, r.version
 		}
-		out = append(out, t)
+		out = append(out, m)
 	}
 	return out
 }
@@ -55,13 +55,13 @@
 			v.remove(name)
 			continue
 		}
-		var t RelayedMember
-		if err := json.Unmarshal(ch.Value, &t); err != nil {
+		var m RelayedMember
+		if err := json.Unmarshal(ch.Value, &m); err != nil {
 			first = errors.Join(first, fmt.Errorf("membership: decode relayed member %s: %w", name, err))
 			continue
 		}
-		t.Member.Name, t.Member.StartID, t.Member.Advertisable = name, t.StartID, t.Advertisable
-		v.set(name, &record{Member: v.members[name].shared(t.Member), relayed: true, stale: t.Stale, version: t.Version, ttl: forever, changedAt: at})
+		m.Member.Name, m.Member.StartID, m.Member.Advertisable = name, m.StartID, m.Advertisable
+		v.set(name, &record{Member: v.members[name].shared(m.Member), relayed: true, stale: m.Stale, version: m.Version, ttl: forever, changedAt: at})
 	}
 	return first
 }
--- a/pkg/membership/roster.go
+++ b/pkg/membership/roster.go
@@ -66,13 +66,13 @@
 	v.changed, v.rosterSelf, v.rosterFrom, v.rosterUntil = false, self, now, now.Add(forever)
 	live := make([]*Member, 0, len(v.members))
 	for _, name := range v.names {
-		s := v.members[name]
-		if s.stale || own != nil && !now.Before(s.staleAt()) {
+		r := v.members[name]
+		if r.stale || own != nil && !now.Before(r.staleAt()) {
 			continue
 		}
-		live = append(live, s.Member)
-		if s.staleAt().Before(v.rosterUntil) {
-			v.rosterUntil = s.staleAt()
+		live = append(live, r.Member)
+		if r.staleAt().Before(v.rosterUntil) {
+			v.rosterUntil = r.staleAt()
 		}
 	}
 	if !slices.Equal(live, v.roster.Members) {
--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -104,10 +104,10 @@
 	return c.Priority
 }
 
-// checkCustomer returns nil if o belongs to the customer of s, or a *verdict.Error if
+// checkCustomer returns nil if head belongs to the customer of s, or a *verdict.Error if
 // another customer's submission has the ID.
-func checkCustomer(o submission.HeadRow, s submission.Spec) error {
-	if !o.BelongsTo(s.Customer) {
+func checkCustomer(head submission.HeadRow, s submission.Spec) error {
+	if !head.BelongsTo(s.Customer) {
 		return verdict.New(verdict.NotRun, http.StatusConflict, errOtherCustomer)
 	}
 	return nil
--- a/pkg/node/audit.go
+++ b/pkg/node/audit.go
@@ -46,11 +46,11 @@
 // recordChange makes t the newest configuration and queues the change for the audit
 // trail.
 func (s *state) recordChange(t *routetable.Table, at time.Time) {
-	c := AuditRecord{Version: t.Version, SeenAt: at, SeenBy: s.name, Routes: t.RouteCount(), Diff: t.Compare(s.table)}
+	r := AuditRecord{Version: t.Version, SeenAt: at, SeenBy: s.name, Routes: t.RouteCount(), Diff: t.Compare(s.table)}
 	if s.table != nil {
-		c.PreviousVersion = s.table.Version
+		r.PreviousVersion = s.table.Version
 	}
-	s.table, s.unauditedChanges = t, append(s.unauditedChanges, c)
+	s.table, s.unauditedChanges = t, append(s.unauditedChanges, r)
 }
 
 // audit returns the effect that writes the queued changes, if this instance is one of
@@ -72,18 +72,18 @@
 
 func (e writeAudit) execute(ctx context.Context, n *Node) {
 	n.group.Go(func() error {
-		for _, c := range e.changes {
-			if err := n.writeChange(ctx, c); err != nil {
-				n.cfg.Logger.Warn("configuration change not written to the audit trail; giving up", "version", c.Version, "err", err)
+		for _, r := range e.changes {
+			if err := n.writeChange(ctx, r); err != nil {
+				n.cfg.Logger.Warn("configuration change not written to the audit trail; giving up", "version", r.Version, "err", err)
 			}
 		}
 		return nil
 	})
 }
 
-// writeChange writes c, unless another instance has already.
-func (n *Node) writeChange(ctx context.Context, c AuditRecord) error {
-	op, err := platform.Put(auditKey(c.Version), 0, c)
+// writeChange writes r, unless another instance has already.
+func (n *Node) writeChange(ctx context.Context, r AuditRecord) error {
+	op, err := platform.Put(auditKey(r.Version), 0, r)
 	if err != nil {
 		return err
 	}
--- a/pkg/node/demand.go
+++ b/pkg/node/demand.go
@@ -27,9 +27,9 @@
 	if s.table == nil {
 		return out
 	}
-	for _, o := range s.heads {
-		if rt, ok := s.table.Match(o.Host, o.Path); ok && o.Open() {
-			out[rt.Shares[0].Pool] += o.Total
+	for _, head := range s.heads {
+		if rt, ok := s.table.Match(head.Host, head.Path); ok && head.Open() {
+			out[rt.Shares[0].Pool] += head.Total
 		}
 	}
 	return out
@@ -39,9 +39,9 @@
 // submission, sorted by name.
 func (s *state) demands() []weights.Demand {
 	busy := map[string]bool{}
-	for _, o := range s.heads {
-		if o.Open() {
-			busy[o.Model] = true
+	for _, head := range s.heads {
+		if head.Open() {
+			busy[head.Model] = true
 		}
 	}
 	models := map[string]bool{}
@@ -70,10 +70,10 @@
 // that have just started.
 func (s *state) concurrentItems() map[string]int {
 	out, open := map[string]int{}, map[string]int{}
-	for _, o := range s.heads {
-		out[o.Model] = max(out[o.Model], concurrentSteps*o.Total)
-		if o.Open() {
-			open[o.Model] += o.Total
+	for _, head := range s.heads {
+		out[head.Model] = max(out[head.Model], concurrentSteps*head.Total)
+		if head.Open() {
+			open[head.Model] += head.Total
 		}
 	}
 	for m, n := range open {
--- a/pkg/node/export_test.go
+++ b/pkg/node/export_test.go
@@ -27,12 +27,12 @@
 
 func (s State) Tick(at time.Time) []string { return effectTexts(s.s.reduce(tick{At: at})) }
 
-func (s State) TakenOver(o submission.HeadRow, at time.Time) []string {
-	return effectTexts(s.s.reduce(takenOver{ID: o.ID, Owned: o, At: at}))
+func (s State) TakenOver(head submission.HeadRow, at time.Time) []string {
+	return effectTexts(s.s.reduce(takenOver{ID: head.ID, Owned: head, At: at}))
 }
 
-func (s State) RunEnded(o submission.HeadRow) []string {
-	return effectTexts(s.s.reduce(runEnded{ID: o.ID, Head: o}))
+func (s State) RunEnded(head submission.HeadRow) []string {
+	return effectTexts(s.s.reduce(runEnded{ID: head.ID, Head: head}))
 }
 
 func (s State) Drain() []string { return effectTexts(s.s.reduce(drain{})) }
@@ -109,8 +109,8 @@
 	return Assigner{&assigner{busy: busy, assign: assign}}
 }
 
-func (d Assigner) SetDemands(demands []weights.Demand) { d.d.setDemands(demands) }
-func (d Assigner) EnsureCurrent()                      { d.d.ensureCurrent() }
+func (a Assigner) SetDemands(demands []weights.Demand) { a.d.setDemands(demands) }
+func (a Assigner) EnsureCurrent()                      { a.d.ensureCurrent() }
 
 // IsStandby reports whether an instance determines that it is one of the Standbys.
 func IsStandby(name string, live []*membership.Member) bool {
--- a/pkg/node/heads.go
+++ b/pkg/node/heads.go
@@ -23,25 +23,25 @@
 	return effs
 }
 
-func (s *state) setHead(o submission.HeadRow) []effect {
-	old, known := s.heads[o.ID]
-	if known && old.Fencing >= o.Fencing {
+func (s *state) setHead(head submission.HeadRow) []effect {
+	old, known := s.heads[head.ID]
+	if known && old.Fencing >= head.Fencing {
 		return nil
 	}
-	s.heads[o.ID], s.demandsStale = o, true
-	effs := []effect{setHead{o}}
-	if named := s.targetVersions[o.Model]; !known && o.Model != "" && named >= o.MinVersion {
-		s.lag[o.Model] = min(named-o.MinVersion, 1)
+	s.heads[head.ID], s.demandsStale = head, true
+	effs := []effect{setHead{head}}
+	if named := s.targetVersions[head.Model]; !known && head.Model != "" && named >= head.MinVersion {
+		s.lag[head.Model] = min(named-head.MinVersion, 1)
 	}
-	if !known && o.Model != "" {
-		s.updateWork(o.Head)
+	if !known && head.Model != "" {
+		s.updateWork(head.Head)
 	}
 	switch {
-	case s.running[o.ID] && (o.Ended || o.Owner != s.startID):
-		effs = append(effs, stopRun{o.ID})
-	case !s.running[o.ID] && o.Owner == s.startID && !o.Claimed && o.Open() && !s.draining:
-		s.running[o.ID] = true
-		effs = append(effs, takeOver{o})
+	case s.running[head.ID] && (head.Ended || head.Owner != s.startID):
+		effs = append(effs, stopRun{head.ID})
+	case !s.running[head.ID] && head.Owner == s.startID && !head.Claimed && head.Open() && !s.draining:
+		s.running[head.ID] = true
+		effs = append(effs, takeOver{head})
 	}
 	return effs
 }
--- a/pkg/node/members.go
+++ b/pkg/node/members.go
@@ -12,17 +12,17 @@
 // started at since, members get time to renew their rows.
 func (s *state) onMembers(u feed.Update, longOutage bool, since time.Time) []effect {
 	var effs []effect
-	q := quarantine.SplitChanges(u.Changes, QuarantinePrefix())
+	split := quarantine.SplitChanges(u.Changes, QuarantinePrefix())
 	s.relayed.applyQuarantine(u.Changes, u.Reset)
 	apply := s.members.Apply
 	if u.Relayed {
 		apply = s.members.ApplyRelayed
 	}
-	if err := apply(q.Others, u.Reset, u.At); err != nil {
+	if err := apply(split.Others, u.Reset, u.At); err != nil {
 		effs = append(effs, logInfo{"malformed member row; ignoring it", []any{"err", err}})
 	}
-	if u.Reset || len(q.Rows) > 0 || len(q.DecodeErrors) > 0 {
-		effs = append(effs, applyQuarantineRows{update: q, reset: u.Reset, at: u.At})
+	if u.Reset || len(split.Rows) > 0 || len(split.DecodeErrors) > 0 {
+		effs = append(effs, applyQuarantineRows{update: split, reset: u.Reset, at: u.At})
 	}
 	if longOutage {
 		s.members.ExtendAfterOutage(since, u.At)
--- a/pkg/node/observe.go
+++ b/pkg/node/observe.go
@@ -121,18 +121,18 @@
 }
 
 // step records an event of an item or submission that runs here.
-func (o *observer) step(s submission.RunEvent) {
-	o.count("items." + s.What)
+func (o *observer) step(e submission.RunEvent) {
+	o.count("items." + e.What)
 	budget := o.items
-	if s.Err != nil {
+	if e.Err != nil {
 		budget = o.failures
 	}
-	fields := []any{"submission", s.Submission, "item", s.Item, "upstream", s.Upstream, "events", s.Events,
-		"status", s.Status, "position", s.Position, "waiting", s.Waiting, "running", s.Running, "err", s.Err}
-	if s.Content != (quarantine.Fingerprint{}) {
-		fields = append(fields, "content", s.Content)
+	fields := []any{"submission", e.Submission, "item", e.Item, "upstream", e.Upstream, "events", e.Events,
+		"status", e.Status, "position", e.Position, "waiting", e.Waiting, "running", e.Running, "err", e.Err}
+	if e.Content != (quarantine.Fingerprint{}) {
+		fields = append(fields, "content", e.Content)
 	}
-	o.logLine(budget, s.Err != nil, s.What, fields...)
+	o.logLine(budget, e.Err != nil, e.What, fields...)
 }
 
 // source records a change of the source through which tables are followed.
--- a/pkg/node/ranking.go
+++ b/pkg/node/ranking.go
@@ -44,15 +44,15 @@
 }
 
 // owners returns the members of r that may own the submission, in order of preference.
-func (x *ownerRankings) owners(r *membership.Roster, h submission.Head) []*membership.Member {
-	if x.roster != r {
-		x.roster, x.byKey = r, map[string][]*membership.Member{}
+func (o *ownerRankings) owners(r *membership.Roster, h submission.Head) []*membership.Member {
+	if o.roster != r {
+		o.roster, o.byKey = r, map[string][]*membership.Member{}
 	}
 	key := ownerKey(h)
-	ranked, ok := x.byKey[key]
+	ranked, ok := o.byKey[key]
 	if !ok {
 		ranked = owners(r.Members, h)
-		x.byKey[key] = ranked
+		o.byKey[key] = ranked
 	}
 	return ranked
 }
--- a/pkg/node/readers.go
+++ b/pkg/node/readers.go
@@ -98,8 +98,8 @@
 }
 
 // spec returns the specification of a submission, from the store if it is not cached.
-func (r *submissionReader) spec(ctx context.Context, o submission.HeadRow) (submission.Spec, error) {
-	id := o.ID
+func (r *submissionReader) spec(ctx context.Context, head submission.HeadRow) (submission.Spec, error) {
+	id := head.ID
 	r.mu.Lock()
 	if run := r.runs[id]; run != nil {
 		r.mu.Unlock()
@@ -110,7 +110,7 @@
 	if ok {
 		return s, nil
 	}
-	s, err := r.node.submissions.Spec(ctx, o)
+	s, err := r.node.submissions.Spec(ctx, head)
 	if err != nil {
 		return s, err
 	}
@@ -122,16 +122,16 @@
 
 // page returns the results of a submission from position after on. It blocks until
 // there is a result, until has passed or ctx is done.
-func (r *submissionReader) page(ctx context.Context, o submission.HeadRow, after int, until time.Time) (ResultPage, error) {
+func (r *submissionReader) page(ctx context.Context, head submission.HeadRow, after int, until time.Time) (ResultPage, error) {
 	for {
-		results, changed, err := r.resultsFrom(ctx, o, after)
+		results, changed, err := r.resultsFrom(ctx, head, after)
 		if err != nil {
 			return ResultPage{}, err
 		}
 		remaining := time.Until(until)
-		if len(results) > 0 || after >= o.Total || remaining <= 0 || ctx.Err() != nil {
+		if len(results) > 0 || after >= head.Total || remaining <= 0 || ctx.Err() != nil {
 			results = limitPageSize(results)
-			return ResultPage{Total: o.Total, Next: after + len(results), Results: results}, nil
+			return ResultPage{Total: head.Total, Next: after + len(results), Results: results}, nil
 		}
 		if changed == nil {
 			remaining = min(remaining, pollPeriod)
@@ -148,22 +148,22 @@
 
 // resultsFrom returns results from a position on and, if the submission runs here, a
 // channel that is closed when there are more.
-func (r *submissionReader) resultsFrom(ctx context.Context, o submission.HeadRow, after int) ([]submission.Result, <-chan struct{}, error) {
-	if run := r.run(o.ID); run != nil {
+func (r *submissionReader) resultsFrom(ctx context.Context, head submission.HeadRow, after int) ([]submission.Result, <-chan struct{}, error) {
+	if run := r.run(head.ID); run != nil {
 		results, changed := run.runner.Results(after)
 		return results, changed, nil
 	}
 	r.mu.Lock()
-	c, ok := r.results.get(o.ID)
+	c, ok := r.results.get(head.ID)
 	if !ok {
 		c = &resultCache{}
-		r.results.put(o.ID, c)
+		r.results.put(head.ID, c)
 	}
 	r.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.results) <= after && len(c.results) < o.Total {
-		more, err := r.node.submissions.Results(ctx, o.ID, len(c.results), resultsPerRead)
+	for len(c.results) <= after && len(c.results) < head.Total {
+		more, err := r.node.submissions.Results(ctx, head.ID, len(c.results), resultsPerRead)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -197,20 +197,20 @@
 	return &fifoCache[T]{limit: limit, values: map[string]T{}}
 }
 
-func (r *fifoCache[T]) get(key string) (T, bool) {
-	v, ok := r.values[key]
+func (c *fifoCache[T]) get(key string) (T, bool) {
+	v, ok := c.values[key]
 	return v, ok
 }
 
-func (r *fifoCache[T]) put(key string, v T) {
-	if _, ok := r.values[key]; !ok {
-		r.keys = append(r.keys, key)
-		if len(r.keys) > r.limit {
-			delete(r.values, r.keys[0])
-			r.keys = r.keys[1:]
+func (c *fifoCache[T]) put(key string, v T) {
+	if _, ok := c.values[key]; !ok {
+		c.keys = append(c.keys, key)
+		if len(c.keys) > c.limit {
+			delete(c.values, c.keys[0])
+			c.keys = c.keys[1:]
 		}
 	}
-	r.values[key] = v
+	c.values[key] = v
 }
 
 // headIndex holds the heads of all submissions for concurrent readers.
@@ -220,40 +220,40 @@
 	lastChanged map[string]submission.HeadRow // last changed head with an owner, by ownerKey
 }
 
-func (x *headIndex) init() {
-	x.heads, x.lastChanged = map[string]submission.HeadRow{}, map[string]submission.HeadRow{}
+func (h *headIndex) init() {
+	h.heads, h.lastChanged = map[string]submission.HeadRow{}, map[string]submission.HeadRow{}
 }
 
-func (x *headIndex) set(o submission.HeadRow) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if o.Fencing <= x.heads[o.ID].Fencing {
+func (h *headIndex) set(head submission.HeadRow) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if head.Fencing <= h.heads[head.ID].Fencing {
 		return
 	}
-	x.heads[o.ID] = o
-	if key := ownerKey(o.Head); o.Owner != "" && o.Fencing > x.lastChanged[key].Fencing {
-		x.lastChanged[key] = o
+	h.heads[head.ID] = head
+	if key := ownerKey(head.Head); head.Owner != "" && head.Fencing > h.lastChanged[key].Fencing {
+		h.lastChanged[key] = head
 	}
 }
 
 // remove removes a submission that has been deleted.
-func (x *headIndex) remove(id string) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	delete(x.heads, id)
+func (h *headIndex) remove(id string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	delete(h.heads, id)
 }
 
 // lastOwner returns the owner of the submission with the ownerKey key whose head
 // changed last, empty for none.
-func (x *headIndex) lastOwner(key string) string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.lastChanged[key].Owner
+func (h *headIndex) lastOwner(key string) string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.lastChanged[key].Owner
 }
 
-func (x *headIndex) get(id string) (submission.HeadRow, bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	o, ok := x.heads[id]
-	return o, ok
+func (h *headIndex) get(id string) (submission.HeadRow, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	head, ok := h.heads[id]
+	return head, ok
 }
--- a/pkg/node/relay.go
+++ b/pkg/node/relay.go
@@ -70,13 +70,13 @@
 
 func (e relayMembers) execute(_ context.Context, n *Node) {
 	rows := slices.Clone(e.quarantineRows)
-	for _, t := range e.states {
-		value, err := n.encodedMembers.encode(t)
+	for _, rm := range e.states {
+		value, err := n.encodedMembers.encode(rm)
 		if err != nil {
-			n.cfg.Logger.Error("encoding a member failed; not passing it on to followers", "member", t.Name, "err", err)
+			n.cfg.Logger.Error("encoding a member failed; not passing it on to followers", "member", rm.Name, "err", err)
 			continue
 		}
-		rows = append(rows, platform.Row{Key: membership.Key(t.Name), Value: value})
+		rows = append(rows, platform.Row{Key: membership.Key(rm.Name), Value: value})
 	}
 	n.follower.SetDerived(membership.Table, rows, e.at)
 }
@@ -90,15 +90,15 @@
 	value []byte
 }
 
-func (m memberEncodings) encode(t membership.RelayedMember) ([]byte, error) {
-	if old, ok := m[t.Name]; ok && old.RelayedMember == t {
+func (m memberEncodings) encode(rm membership.RelayedMember) ([]byte, error) {
+	if old, ok := m[rm.Name]; ok && old.RelayedMember == rm {
 		return old.value, nil
 	}
-	value, err := t.Encode()
+	value, err := rm.Encode()
 	if err != nil {
 		return nil, err
 	}
-	m[t.Name] = encodedMember{t, value}
+	m[rm.Name] = encodedMember{rm, value}
 	return value, nil
 }
 
--- a/pkg/node/service.go
+++ b/pkg/node/service.go
@@ -77,8 +77,8 @@
 // Submit stores a submission, to be run by its owner. After an error with verdict
 // NotRun no part of it runs.
 func (n *Node) Submit(ctx context.Context, s submission.Spec) error {
-	if o, ok := n.heads.get(s.ID); ok {
-		return checkCustomer(o, s)
+	if head, ok := n.heads.get(s.ID); ok {
+		return checkCustomer(head, s)
 	}
 	if n.draining.Load() {
 		return verdict.Refuse(http.StatusServiceUnavailable, time.Now(), errors.New("node: draining"))
@@ -92,7 +92,7 @@
 	defer cancel()
 	started := time.Now()
 	owner := n.owner(s)
-	o, err := n.submissions.Accept(ctx, s, owner, owner == n.startID, started)
+	head, err := n.submissions.Accept(ctx, s, owner, owner == n.startID, started)
 	if err != nil {
 		n.observer.count("submissions.not_kept")
 		n.cfg.Logger.Warn("submission not kept", "submission", s.ID, "took", time.Since(started), "err", err)
@@ -103,13 +103,13 @@
 	}
 	n.observer.count("submissions.kept")
 	n.observer.time("submissions.keep", time.Since(started))
-	n.cfg.Logger.Info("submission kept", "submission", s.ID, "items", len(s.Items), "min_version", s.MinVersion, "owner", o.Owner, "took", time.Since(started))
-	n.heads.set(o)
-	if err := checkCustomer(o, s); err != nil {
+	n.cfg.Logger.Info("submission kept", "submission", s.ID, "items", len(s.Items), "min_version", s.MinVersion, "owner", head.Owner, "took", time.Since(started))
+	n.heads.set(head)
+	if err := checkCustomer(head, s); err != nil {
 		n.deleteSpec(context.WithoutCancel(ctx), s)
 		return err
 	}
-	n.enqueue(ctx, accepted{o, s})
+	n.enqueue(ctx, accepted{head, s})
 	return nil
 }
 
@@ -159,39 +159,39 @@
 // head returns the head of a customer's submission, from the store if it is not cached.
 // The submission of another customer is reported as not found.
 func (n *Node) head(ctx context.Context, id, customer string) (submission.HeadRow, error) {
-	o, ok := n.heads.get(id)
+	row, ok := n.heads.get(id)
 	if !ok {
 		var err error
-		if o, err = n.submissions.Head(ctx, id); err != nil {
-			return o, err
+		if row, err = n.submissions.Head(ctx, id); err != nil {
+			return row, err
 		}
-		n.heads.set(o)
+		n.heads.set(row)
 	}
-	if !o.BelongsTo(customer) {
+	if !row.BelongsTo(customer) {
 		return submission.HeadRow{}, submission.ErrNotFound
 	}
-	return o, nil
+	return row, nil
 }
 
 // Results returns results of a customer's submission from position after on. It blocks
 // until there is one or until has passed. Its errors are submission.ErrNotFound and
 // ErrStoreUnavailable.
 func (n *Node) Results(ctx context.Context, id, customer string, after int, until time.Time) (ResultPage, error) {
-	o, err := n.head(ctx, id, customer)
+	head, err := n.head(ctx, id, customer)
 	if err != nil {
 		return ResultPage{}, err
 	}
-	return n.reader.page(ctx, o, after, until)
+	return n.reader.page(ctx, head, after, until)
 }
 
 // Body returns the body of an item of a customer's submission. Its errors are
 // submission.ErrNotFound, ErrItemNotFound and ErrStoreUnavailable.
 func (n *Node) Body(ctx context.Context, id, customer, item string) ([]byte, error) {
-	o, err := n.head(ctx, id, customer)
+	head, err := n.head(ctx, id, customer)
 	if err != nil {
 		return nil, err
 	}
-	s, err := n.reader.spec(ctx, o)
+	s, err := n.reader.spec(ctx, head)
 	if err != nil {
 		return nil, err
 	}
@@ -205,13 +205,13 @@
 
 // End ends a customer's submission: its runs are cancelled, its results remain.
 func (n *Node) End(ctx context.Context, id, customer string) error {
-	o, err := n.head(ctx, id, customer)
+	head, err := n.head(ctx, id, customer)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := n.withReachable(ctx)
 	defer cancel()
-	o, err = n.submissions.UpdateHead(ctx, o, func(h submission.Head) (submission.Head, bool) {
+	head, err = n.submissions.UpdateHead(ctx, head, func(h submission.Head) (submission.Head, bool) {
 		if h.Ended {
 			return h, false
 		}
@@ -222,7 +222,7 @@
 		return fmt.Errorf("%w: %w", submission.ErrStoreUnavailable, err)
 	}
 	n.cfg.Logger.Info("submission ended", "submission", id)
-	n.heads.set(o)
+	n.heads.set(head)
 	n.reader.cancelRun(id)
 	return nil
 }
--- a/pkg/node/sweep.go
+++ b/pkg/node/sweep.go
@@ -24,15 +24,15 @@
 		return nil
 	}
 	live := s.members.Roster(now, s.name)
-	for _, o := range s.heads {
-		if o.Open() || s.running[o.ID] || now.Sub(o.AcceptedAt) < s.retention+sweepMargin {
+	for _, head := range s.heads {
+		if head.Open() || s.running[head.ID] || now.Sub(head.AcceptedAt) < s.retention+sweepMargin {
 			continue
 		}
-		if ranked := owners(live.Members, submission.Head{Host: o.ID}); len(ranked) == 0 || ranked[0].Name != s.name {
+		if ranked := owners(live.Members, submission.Head{Host: head.ID}); len(ranked) == 0 || ranked[0].Name != s.name {
 			continue
 		}
 		s.sweeping = true
-		return []effect{sweep{o}}
+		return []effect{sweep{head}}
 	}
 	s.nextSweep = now.Add(sweepPause)
 	return nil
--- a/pkg/node/takeover.go
+++ b/pkg/node/takeover.go
@@ -18,9 +18,9 @@
 	}
 	live := s.members.Roster(now, s.name)
 	var effs []effect
-	for id, o := range s.heads {
-		ownedByOther := live.HasStartID(o.Owner) && o.Owner != s.startID
-		if !o.Open() || s.running[id] || ownedByOther && o.Claimed {
+	for id, head := range s.heads {
+		ownedByOther := live.HasStartID(head.Owner) && head.Owner != s.startID
+		if !head.Open() || s.running[id] || ownedByOther && head.Claimed {
 			delete(s.orphans, id)
 			continue
 		}
@@ -29,11 +29,11 @@
 			since = now
 			s.orphans[id] = now
 		}
-		if now.Before(s.retryAt[id]) || now.Sub(since) < s.orphanWait(o, ownedByOther, live) {
+		if now.Before(s.retryAt[id]) || now.Sub(since) < s.orphanWait(head, ownedByOther, live) {
 			continue
 		}
 		s.running[id] = true
-		effs = append(effs, logInfo{"adopting", []any{"submission", id, "owner", o.Owner, "orphan_for", now.Sub(since)}}, takeOver{o})
+		effs = append(effs, logInfo{"adopting", []any{"submission", id, "owner", head.Owner, "orphan_for", now.Sub(since)}}, takeOver{head})
 	}
 	return effs
 }
@@ -41,17 +41,17 @@
 // orphanWait returns how long this instance waits before it takes over an orphan, which
 // is an open submission that no live instance runs. ownerLive means that its owner is
 // among the members but has not claimed it.
-func (s *state) orphanWait(o submission.HeadRow, ownerLive bool, members *membership.Roster) time.Duration {
-	name := membership.NameOf(o.Owner)
+func (s *state) orphanWait(head submission.HeadRow, ownerLive bool, members *membership.Roster) time.Duration {
+	name := membership.NameOf(head.Owner)
 	if name == s.name {
 		return 0 // this process, or an earlier one of the same instance
 	}
-	wait := s.rankDelay(o, members)
+	wait := s.rankDelay(head, members)
 	_, known := s.members.StartIDOf(name)
 	switch {
 	case ownerLive:
 		return claimTimeout + wait
-	case o.Owner == "", known:
+	case head.Owner == "", known:
 		return wait // released by its owner, which has restarted or is stale
 	}
 	return orphanDelay + wait
@@ -59,13 +59,13 @@
 
 // rankDelay returns how long this instance waits for the live instances that rank before
 // it as owners of an orphan, other than the owner itself.
-func (s *state) rankDelay(o submission.HeadRow, members *membership.Roster) time.Duration {
+func (s *state) rankDelay(head submission.HeadRow, members *membership.Roster) time.Duration {
 	i := 0
-	for _, m := range s.ownerRankings.owners(members, o.Head) {
+	for _, m := range s.ownerRankings.owners(members, head.Head) {
 		if m.Name == s.name {
 			break
 		}
-		if m.StartID != o.Owner {
+		if m.StartID != head.Owner {
 			i++
 		}
 	}
--- a/pkg/peer/hints.go
+++ b/pkg/peer/hints.go
@@ -47,15 +47,15 @@
 }
 
 // Broadcast queues h for all targets and does not block.
-func (p *Hints) Broadcast(h *peerpb.Hint) {
+func (hs *Hints) Broadcast(h *peerpb.Hint) {
 	for {
 		select {
-		case p.out <- h:
+		case hs.out <- h:
 			return
 		default:
 		}
 		select {
-		case old := <-p.out: // not sent yet: merge it into the new hint
+		case old := <-hs.out: // not sent yet: merge it into the new hint
 			h.Steps = h.Steps || old.Steps
 		default:
 		}
@@ -64,33 +64,33 @@
 
 // Serve accepts peers' sessions and sends queued hints until ctx ends. It fails if it
 // cannot listen.
-func (p *Hints) Serve(ctx context.Context) error {
-	ln := p.cfg.Listener
-	if ln == nil && p.cfg.Listen == "" {
+func (hs *Hints) Serve(ctx context.Context) error {
+	ln := hs.cfg.Listener
+	if ln == nil && hs.cfg.Listen == "" {
 		<-ctx.Done()
 		return nil
 	}
 	if ln == nil {
 		var err error
-		if ln, err = net.Listen("tcp", p.cfg.Listen); err != nil {
+		if ln, err = net.Listen("tcp", hs.cfg.Listen); err != nil {
 			return err
 		}
 	}
-	p.cfg.Go(func() error { return Accept(ctx, ln, p.cfg.KeepAlive, p.cfg.Go, p.receive) })
-	defer p.sessions.Close()
+	hs.cfg.Go(func() error { return Accept(ctx, ln, hs.cfg.KeepAlive, hs.cfg.Go, hs.receive) })
+	defer hs.sessions.Close()
 	defer ln.Close()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case h := <-p.out:
-			p.broadcast(ctx, h)
+		case h := <-hs.out:
+			hs.broadcast(ctx, h)
 		}
 	}
 }
 
 // receive passes the hints of one stream to Receive.
-func (p *Hints) receive(ctx context.Context, stream net.Conn) {
+func (hs *Hints) receive(ctx context.Context, stream net.Conn) {
 	r := protodelim.UnmarshalOptions{MaxSize: maxHint}
 	br := newByteReader(stream)
 	for {
@@ -98,7 +98,7 @@
 		if err := r.UnmarshalFrom(br, &h); err != nil {
 			return
 		}
-		p.cfg.Receive(ctx, &h)
+		hs.cfg.Receive(ctx, &h)
 	}
 }
 
@@ -120,12 +120,12 @@
 
 // broadcast sends h to all targets concurrently, so that unreachable peers do not delay
 // the others.
-func (p *Hints) broadcast(ctx context.Context, h *peerpb.Hint) {
+func (hs *Hints) broadcast(ctx context.Context, h *peerpb.Hint) {
 	var sends errgroup.Group
-	for _, addr := range p.cfg.Targets() {
+	for _, addr := range hs.cfg.Targets() {
 		sends.Go(func() error {
-			if err := p.send(ctx, addr, h); err != nil {
-				p.sessions.Drop(addr)
+			if err := hs.send(ctx, addr, h); err != nil {
+				hs.sessions.Drop(addr)
 			}
 			return nil
 		})
@@ -133,8 +133,8 @@
 	_ = sends.Wait()
 }
 
-func (p *Hints) send(ctx context.Context, addr string, h *peerpb.Hint) error {
-	stream, err := p.stream(ctx, addr)
+func (hs *Hints) send(ctx context.Context, addr string, h *peerpb.Hint) error {
+	stream, err := hs.stream(ctx, addr)
 	if err != nil {
 		return err
 	}
@@ -145,14 +145,14 @@
 
 // stream returns the hint stream to the peer at addr. Only one broadcast runs at a time,
 // so no two calls are for the same peer.
-func (p *Hints) stream(ctx context.Context, addr string) (net.Conn, error) {
-	session, err := p.sessions.Open(ctx, addr)
+func (hs *Hints) stream(ctx context.Context, addr string) (net.Conn, error) {
+	session, err := hs.sessions.Open(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	p.mu.Lock()
-	s, ok := p.streams[addr]
-	p.mu.Unlock()
+	hs.mu.Lock()
+	s, ok := hs.streams[addr]
+	hs.mu.Unlock()
 	if ok && s.session == session {
 		return s.Conn, nil
 	}
@@ -160,8 +160,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.streams[addr] = hintStream{session, conn}
+	hs.mu.Lock()
+	defer hs.mu.Unlock()
+	hs.streams[addr] = hintStream{session, conn}
 	return conn, nil
 }
--- a/pkg/peer/watch.go
+++ b/pkg/peer/watch.go
@@ -53,8 +53,8 @@
 }
 
 // AnyUnavailable reports whether any of the tables is Unavailable.
-func (n WatchUpdate) AnyUnavailable() bool {
-	return slices.ContainsFunc(n.Tables, func(t TableUpdate) bool { return t.Unavailable })
+func (u WatchUpdate) AnyUnavailable() bool {
+	return slices.ContainsFunc(u.Tables, func(t TableUpdate) bool { return t.Unavailable })
 }
 
 // Link is a connection to a peer that carries watches only.
@@ -113,7 +113,7 @@
 	if err := (protodelim.UnmarshalOptions{MaxSize: maxMessage}).UnmarshalFrom(w.reader, a); err != nil {
 		return WatchUpdate{}, err
 	}
-	n := WatchUpdate{Full: a.GetFull(), Leaving: a.GetLeaving()}
+	u := WatchUpdate{Full: a.GetFull(), Leaving: a.GetLeaving()}
 	for _, t := range a.GetTables() {
 		if int(t.GetIndex()) >= len(w.tables) {
 			return WatchUpdate{}, errors.New("peer: update of a table that is not watched")
@@ -127,9 +127,9 @@
 			continue
 		}
 		delete(w.partial, t.GetIndex())
-		n.Tables = append(n.Tables, TableUpdate{Table: w.tables[t.GetIndex()].Table, Reset: t.GetWhole(), Changes: changes, Version: t.GetVersion(), Unavailable: t.GetLost()})
+		u.Tables = append(u.Tables, TableUpdate{Table: w.tables[t.GetIndex()].Table, Reset: t.GetWhole(), Changes: changes, Version: t.GetVersion(), Unavailable: t.GetLost()})
 	}
-	return n, nil
+	return u, nil
 }
 
 // Close ends the watch.
@@ -151,8 +151,8 @@
 		index[t.GetTable()] = uint32(i)
 	}
 	// The error is not needed here: the watcher sees the end of the stream.
-	_ = server.Watch(ctx, tables, func(n WatchUpdate) error {
-		for a := range messagesOf(n, index) {
+	_ = server.Watch(ctx, tables, func(u WatchUpdate) error {
+		for a := range messagesOf(u, index) {
 			if err := stream.SetWriteDeadline(time.Now().Add(updateWriteTimeout)); err != nil {
 				return err
 			}
@@ -164,13 +164,13 @@
 	})
 }
 
-// messagesOf returns the messages that encode n: one, or more if there are many rows.
+// messagesOf returns the messages that encode u: one, or more if there are many rows.
 // They are created one at a time, as whole tables may be sent to many watchers at once.
-func messagesOf(n WatchUpdate, index map[string]uint32) iter.Seq[*peerpb.WatchAnswer] {
+func messagesOf(u WatchUpdate, index map[string]uint32) iter.Seq[*peerpb.WatchAnswer] {
 	return func(yield func(*peerpb.WatchAnswer) bool) {
-		a := &peerpb.WatchAnswer{Full: n.Full, Leaving: n.Leaving}
+		a := &peerpb.WatchAnswer{Full: u.Full, Leaving: u.Leaving}
 		size := 0
-		for _, t := range n.Tables {
+		for _, t := range u.Tables {
 			update := &peerpb.TableNews{Index: index[t.Table], Whole: t.Reset, Version: t.Version, Lost: t.Unavailable}
 			a.Tables = append(a.Tables, update)
 			for _, ch := range t.Changes {
@@ -180,7 +180,7 @@
 						return
 					}
 					update = &peerpb.TableNews{Index: update.Index, Whole: t.Reset, Version: t.Version, Lost: t.Unavailable}
-					a, size = &peerpb.WatchAnswer{Leaving: n.Leaving, Tables: []*peerpb.TableNews{update}}, 0
+					a, size = &peerpb.WatchAnswer{Leaving: u.Leaving, Tables: []*peerpb.TableNews{update}}, 0
 				}
 				r := storedRow(ch.Row)
 				r.Deleted = ch.Deleted
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -108,7 +108,7 @@
 func (g *Guard) probesOf(f Fingerprint) []*probe {
 	var out []*probe
 	for _, p := range g.probes {
-		if slices.ContainsFunc(p.interrupted, func(c Interrupted) bool { return c.Content == f }) {
+		if slices.ContainsFunc(p.interrupted, func(in Interrupted) bool { return in.Content == f }) {
 			out = append(out, p)
 		}
 	}
--- a/pkg/quarantine/tracker.go
+++ b/pkg/quarantine/tracker.go
@@ -77,12 +77,12 @@
 	}
 	t.recentCrashes[process] = now
 	var added []Fingerprint
-	for _, c := range interrupted {
-		if s, ok := t.add(Fact{Content: c.Content, Kind: Crash, Subject: process}, now); ok {
+	for _, in := range interrupted {
+		if s, ok := t.add(Fact{Content: in.Content, Kind: Crash, Subject: process}, now); ok {
 			s.shareAt = now.Add(shareDelay)
-			s.ranTooShort = c.RanFor < minCrashTime
-			s.unlikelyCause = s.ranTooShort || c.RanFor > maxCrashTime
-			added = append(added, c.Content)
+			s.ranTooShort = in.RanFor < minCrashTime
+			s.unlikelyCause = s.ranTooShort || in.RanFor > maxCrashTime
+			added = append(added, in.Content)
 		}
 	}
 	t.correlateCrashes()
--- a/pkg/shard/deliver.go
+++ b/pkg/shard/deliver.go
@@ -33,14 +33,14 @@
 		return err
 	}
 	open := platform.Check(step.HeadKey(r.id.Step), r.headRow)
-	d := r.cfg.Samples.NewRecord(r.entry, r.deliveryID(e.Group), e.Samples...)
-	version, err := r.cfg.Samples.CommitRecord(ctx, r.entry, d, renewal, open)
+	rec := r.cfg.Samples.NewRecord(r.entry, r.deliveryID(e.Group), e.Samples...)
+	version, err := r.cfg.Samples.CommitRecord(ctx, r.entry, rec, renewal, open)
 	var ce *platform.ConflictError
 	switch {
 	case err == nil && version > 0:
 		r.heldLease.Fencing, r.progress = version, r.progress.Record(e.Group)
 		r.step.Reduce(step.Recorded{Group: e.Group})
-		r.send(ctx, e.Group, d, version)
+		r.send(ctx, e.Group, rec, version)
 		return nil
 	case errors.As(err, &ce) && ce.Key == open.Key:
 		return errStepClosed
@@ -87,11 +87,11 @@
 // send delivers a recorded group in the background and sends the result to the loop. If
 // the loop has ended, it deletes the record itself after a successful delivery, and the
 // next lease holder finds the record gone.
-func (r *run) send(ctx context.Context, group int, d delivery.Record, version uint64) {
+func (r *run) send(ctx context.Context, group int, rec delivery.Record, version uint64) {
 	r.sending[group] = true
-	r.cfg.Samples.RunAsync(ctx, d, func(ctx context.Context) error {
-		accepted, err := r.cfg.Samples.Deliver(ctx, d)
-		a := deliveryResult{group: group, failed: err != nil, accepted: accepted, recordOp: platform.Delete(d.Key, version)}
+	r.cfg.Samples.RunAsync(ctx, rec, func(ctx context.Context) error {
+		accepted, err := r.cfg.Samples.Deliver(ctx, rec)
+		a := deliveryResult{group: group, failed: err != nil, accepted: accepted, recordOp: platform.Delete(rec.Key, version)}
 		select {
 		case r.delivered <- a:
 			return err
@@ -100,7 +100,7 @@
 		if err != nil {
 			return err
 		}
-		return r.cfg.Samples.DeleteRecord(ctx, d.Key)
+		return r.cfg.Samples.DeleteRecord(ctx, rec.Key)
 	})
 }
 
@@ -118,9 +118,9 @@
 			r.sending[g] = true
 			r.unrecordedResults = append(r.unrecordedResults, deliveryResult{group: g, accepted: true, recordOp: platform.Check(delivery.Key(r.deliveryID(g)), 0)})
 		case err == nil:
-			d := delivery.Record{Key: row.Key}
-			if json.Unmarshal(row.Value, &d) == nil {
-				r.send(ctx, g, d, row.Version)
+			rec := delivery.Record{Key: row.Key}
+			if json.Unmarshal(row.Value, &rec) == nil {
+				r.send(ctx, g, rec, row.Version)
 			}
 		}
 	}
@@ -149,22 +149,22 @@
 
 // recordResult records one result. It reports false if the platform did not answer. A
 // failed delivery is left to resend.
-func (r *run) recordResult(ctx context.Context, a deliveryResult) (bool, error) {
-	if a.failed {
-		delete(r.sending, a.group)
+func (r *run) recordResult(ctx context.Context, res deliveryResult) (bool, error) {
+	if res.failed {
+		delete(r.sending, res.group)
 		return true, nil
 	}
-	next := r.progress.Ack(a.group)
-	if !a.accepted {
-		next = r.progress.Refuse(a.group)
+	next := r.progress.Ack(res.group)
+	if !res.accepted {
+		next = r.progress.Refuse(res.group)
 	}
 	renewal, err := r.renewal(next)
 	if err != nil {
 		return false, err
 	}
-	rows, err := r.cfg.Platform.Commit(ctx, renewal, a.recordOp)
+	rows, err := r.cfg.Platform.Commit(ctx, renewal, res.recordOp)
 	var ce *platform.ConflictError
-	if errors.As(err, &ce) && ce.Key == a.recordOp.Key {
+	if errors.As(err, &ce) && ce.Key == res.recordOp.Key {
 		rows, err = r.cfg.Platform.Commit(ctx, renewal) // the sweeper has deleted the record
 	}
 	switch {
@@ -176,16 +176,16 @@
 		if err := r.renew(ctx); errors.Is(err, lease.ErrHeld) {
 			return false, errLeaseLost
 		}
-		if slices.Contains(r.progress.Recorded, a.group) {
+		if slices.Contains(r.progress.Recorded, res.group) {
 			return false, nil
 		}
 	}
-	delete(r.sending, a.group)
-	if a.accepted {
-		r.step.Reduce(step.Acked{Group: a.group})
+	delete(r.sending, res.group)
+	if res.accepted {
+		r.step.Reduce(step.Acked{Group: res.group})
 		r.mayBeComplete = true
 	} else {
-		r.step.Reduce(step.Refused{Group: a.group})
+		r.step.Reduce(step.Refused{Group: res.group})
 	}
 	return true, nil
 }
--- a/pkg/storepath/check.go
+++ b/pkg/storepath/check.go
@@ -93,42 +93,42 @@
 // meanwhile. Calls in flight on the path before are cancelled.
 func (s *Store) check(ctx context.Context, reason string) {
 	from := s.Path()
-	w, ok := s.findPath(ctx)
+	ap, ok := s.findPath(ctx)
 	if !ok {
 		return // ctx has ended
 	}
 	now := time.Now()
 	s.mu.Lock()
-	changed := s.selector.Path() == from && s.selector.Checked(w, now)
+	changed := s.selector.Path() == from && s.selector.Checked(ap, now)
 	if changed {
 		s.updateUnreachable(from)
 		s.cancelCalls(from, now)
 	}
 	s.mu.Unlock()
 	if changed {
-		s.cfg.OnChange(from, w, reason)
+		s.cfg.OnChange(from, ap, reason)
 	}
 }
 
 // findPath pings the paths until one is chosen. ok is false if ctx was cancelled before.
-func (s *Store) findPath(ctx context.Context) (w AccessPath, ok bool) {
+func (s *Store) findPath(ctx context.Context) (ap AccessPath, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, PingTimeout)
 	defer cancel() // cancels pings that are still in flight
-	v := pathCheck{store: s, done: make(chan Ping, 1+maxPeers)}
+	c := pathCheck{store: s, done: make(chan Ping, 1+maxPeers)}
 	startedAt := time.Now()
-	v.ping(ctx, AccessPath{}, s.cfg.Ping)
+	c.ping(ctx, AccessPath{}, s.cfg.Ping)
 	wake := time.NewTimer(PeerPingDelay)
 	defer wake.Stop()
 	for {
 		select {
-		case p := <-v.done:
-			v.record(p)
+		case p := <-c.done:
+			c.record(p)
 		case <-wake.C:
 		}
 		elapsed := time.Since(startedAt)
-		v.pingPeers(ctx, elapsed)
-		if w, ok := Choose(v.pings, elapsed); ok {
-			return w, true
+		c.pingPeers(ctx, elapsed)
+		if ap, ok := Choose(c.pings, elapsed); ok {
+			return ap, true
 		}
 		if ctx.Err() == context.Canceled {
 			return AccessPath{}, false
@@ -145,37 +145,37 @@
 	peersPinged bool // whether peers have been pinged
 }
 
-// ping starts a ping on path w.
-func (v *pathCheck) ping(ctx context.Context, w AccessPath, f func(context.Context) error) {
-	v.pings = append(v.pings, Ping{Path: w})
-	v.store.cfg.Go(func() error {
+// ping starts a ping on path ap.
+func (c *pathCheck) ping(ctx context.Context, ap AccessPath, f func(context.Context) error) {
+	c.pings = append(c.pings, Ping{Path: ap})
+	c.store.cfg.Go(func() error {
 		startedAt := time.Now()
 		err := f(ctx)
-		v.done <- Ping{Path: w, Ended: true, Took: time.Since(startedAt), Err: err}
+		c.done <- Ping{Path: ap, Ended: true, Took: time.Since(startedAt), Err: err}
 		return nil
 	})
 }
 
 // record records the outcome of a ping.
-func (v *pathCheck) record(done Ping) {
-	for i := range v.pings {
-		if v.pings[i].Path == done.Path {
-			v.pings[i] = done
+func (c *pathCheck) record(done Ping) {
+	for i := range c.pings {
+		if c.pings[i].Path == done.Path {
+			c.pings[i] = done
 		}
 	}
 }
 
 // pingPeers pings the first maxPeers peers, once, when the direct path has failed or has
 // not answered within PeerPingDelay.
-func (v *pathCheck) pingPeers(ctx context.Context, elapsed time.Duration) {
-	direct := v.pings[0]
-	if v.peersPinged || direct.answered() || !direct.Ended && elapsed < PeerPingDelay {
+func (c *pathCheck) pingPeers(ctx context.Context, elapsed time.Duration) {
+	direct := c.pings[0]
+	if c.peersPinged || direct.answered() || !direct.Ended && elapsed < PeerPingDelay {
 		return
 	}
-	v.peersPinged = true
-	all := v.store.cfg.Peers()
+	c.peersPinged = true
+	all := c.store.cfg.Peers()
 	for _, addr := range all[:min(len(all), maxPeers)] {
-		v.ping(ctx, AccessPath{Kind: ThroughPeer, Peer: addr}, v.store.cfg.Peer(addr).Ping)
+		c.ping(ctx, AccessPath{Kind: ThroughPeer, Peer: addr}, c.store.cfg.Peer(addr).Ping)
 	}
 }
 
--- a/pkg/storepath/links.go
+++ b/pkg/storepath/links.go
@@ -27,7 +27,7 @@
 	Ping   func(ctx context.Context) error // as in storepath.Config
 	Go     func(func() error)              // as in storepath.Config
 
-	OnCall   func(w AccessPath, err error)            // as in storepath.Config
+	OnCall   func(ap AccessPath, err error)           // as in storepath.Config
 	OnChange func(from, to AccessPath, reason string) // as in storepath.Config
 }
 
--- a/pkg/storepath/selector.go
+++ b/pkg/storepath/selector.go
@@ -51,12 +51,12 @@
 	Unreachable // no path works: calls are still tried directly, and callers are turned away
 )
 
-func (w AccessPath) String() string {
-	switch w.Kind {
+func (ap AccessPath) String() string {
+	switch ap.Kind {
 	case Direct:
 		return "direct"
 	case ThroughPeer:
-		return "peer " + w.Peer
+		return "peer " + ap.Peer
 	}
 	return "none"
 }
@@ -79,7 +79,7 @@
 // cut off silently, the direct ping is given FastPing, in which it would have been
 // answered. When the store is slow or unavailable for all instances, no peer answers
 // fast, and the direct path is chosen, or Unreachable.
-func Choose(pings []Ping, elapsed time.Duration) (w AccessPath, ok bool) {
+func Choose(pings []Ping, elapsed time.Duration) (ap AccessPath, ok bool) {
 	var direct Ping
 	var peer, slowPeer *Ping
 	pending := false
@@ -121,72 +121,72 @@
 }
 
 // Path returns the path that calls use.
-func (p *Selector) Path() AccessPath { return p.path }
+func (s *Selector) Path() AccessPath { return s.path }
 
-// Answered records that a call on path w was answered at at, and reports whether the path
+// Answered records that a call on path ap was answered at at, and reports whether the path
 // changed. A store that answers a call is not unreachable even if pings fail, as it can
 // serve a part of its partitions.
-func (p *Selector) Answered(w AccessPath, at time.Time) bool {
-	if w != p.path {
+func (s *Selector) Answered(ap AccessPath, at time.Time) bool {
+	if ap != s.path {
 		return false
 	}
-	if w.Kind == Unreachable {
-		return p.set(AccessPath{})
+	if ap.Kind == Unreachable {
+		return s.set(AccessPath{})
 	}
-	if at.After(p.answered) {
-		p.answered = at
+	if at.After(s.answered) {
+		s.answered = at
 	}
 	return false
 }
 
-// Failed reports whether the paths should be checked after a call on path w was refused
+// Failed reports whether the paths should be checked after a call on path ap was refused
 // or interrupted at at.
-func (p *Selector) Failed(w AccessPath, at time.Time) bool {
-	return w == p.path && p.CheckIsDue(at)
+func (s *Selector) Failed(ap AccessPath, at time.Time) bool {
+	return ap == s.path && s.CheckIsDue(at)
 }
 
 // CheckIsDue reports whether the last check is long enough ago for another.
-func (p *Selector) CheckIsDue(at time.Time) bool { return at.Sub(p.checkedAt) >= minCheckPause }
+func (s *Selector) CheckIsDue(at time.Time) bool { return at.Sub(s.checkedAt) >= minCheckPause }
 
-// Overdue reports whether the paths should be checked after a call on path w, sent at
+// Overdue reports whether the paths should be checked after a call on path ap, sent at
 // sentAt, has not been answered in time. If other calls were answered since sentAt, they
 // should not: either only this answer was lost, or the store is still holding the call.
-func (p *Selector) Overdue(w AccessPath, sentAt, at time.Time) bool {
-	return !p.answered.After(sentAt) && p.Failed(w, at)
+func (s *Selector) Overdue(ap AccessPath, sentAt, at time.Time) bool {
+	return !s.answered.After(sentAt) && s.Failed(ap, at)
 }
 
 // Checked selects the path that a check has found at at, and reports whether the path
 // changed.
-func (p *Selector) Checked(w AccessPath, at time.Time) bool {
-	p.checkedAt = at
-	return p.set(w)
+func (s *Selector) Checked(ap AccessPath, at time.Time) bool {
+	s.checkedAt = at
+	return s.set(ap)
 }
 
 // DirectPinged records the outcome of a ping of the direct path while another path is
 // used, and reports whether the direct path is used again.
-func (p *Selector) DirectPinged(took time.Duration, err error) bool {
-	if p.path.Kind == Direct {
+func (s *Selector) DirectPinged(took time.Duration, err error) bool {
+	if s.path.Kind == Direct {
 		return false
 	}
-	p.fastPings++
+	s.fastPings++
 	if err != nil || took > FastPing {
-		p.fastPings = 0
+		s.fastPings = 0
 	}
-	return p.fastPings >= returnAfter && p.set(AccessPath{})
+	return s.fastPings >= returnAfter && s.set(AccessPath{})
 }
 
-func (p *Selector) set(w AccessPath) bool {
-	if w == p.path {
+func (s *Selector) set(ap AccessPath) bool {
+	if ap == s.path {
 		return false
 	}
-	p.path, p.fastPings, p.answered = w, 0, time.Time{}
+	s.path, s.fastPings, s.answered = ap, 0, time.Time{}
 	return true
 }
 
 // NextCheck returns when the paths are to be checked next without a request, given the
 // current time at; zero for never.
-func (p *Selector) NextCheck(at time.Time) time.Time {
-	switch p.path.Kind {
+func (s *Selector) NextCheck(at time.Time) time.Time {
+	switch s.path.Kind {
 	case Unreachable:
 		return at.Add(unreachablePause)
 	case ThroughPeer:
--- a/pkg/storepath/store.go
+++ b/pkg/storepath/store.go
@@ -30,7 +30,7 @@
 	// Go starts a goroutine of the instance's group.
 	Go func(func() error)
 	// OnCall is called after each call with its path and error; it may be nil.
-	OnCall func(w AccessPath, err error)
+	OnCall func(ap AccessPath, err error)
 	// OnChange is called when the path changes, with the reason; it may be nil.
 	OnChange func(from, to AccessPath, reason string)
 }
@@ -155,26 +155,26 @@
 	}
 }
 
-// answered records that a call or ping on path w was answered.
-func (s *Store) answered(w AccessPath, reason string) {
+// answered records that a call or ping on path ap was answered.
+func (s *Store) answered(ap AccessPath, reason string) {
 	now := time.Now()
 	s.mu.Lock()
-	changed := s.selector.Answered(w, now)
+	changed := s.selector.Answered(ap, now)
 	if changed {
-		s.updateUnreachable(w)
-		s.cancelCalls(w, now.Add(-AnswerTimeout))
+		s.updateUnreachable(ap)
+		s.cancelCalls(ap, now.Add(-AnswerTimeout))
 	}
 	s.mu.Unlock()
 	if changed {
-		s.cfg.OnChange(w, AccessPath{}, reason)
+		s.cfg.OnChange(ap, AccessPath{}, reason)
 	}
 }
 
-// cancelCalls cancels the calls on path w that started before the given time, as they
+// cancelCalls cancels the calls on path ap that started before the given time, as they
 // would wait for an answer that does not come. s.mu is held.
-func (s *Store) cancelCalls(w AccessPath, before time.Time) {
+func (s *Store) cancelCalls(ap AccessPath, before time.Time) {
 	for c := range s.calls {
-		if c.path == w && c.startedAt.Before(before) {
+		if c.path == ap && c.startedAt.Before(before) {
 			c.cancel()
 		}
 	}
--- a/pkg/submission/append.go
+++ b/pkg/submission/append.go
@@ -75,7 +75,7 @@
 
 // complete marks the submission as complete: every result is written and nothing runs.
 func (r *Runner) complete(ctx context.Context) error {
-	o, err := r.cfg.Repository.UpdateHead(ctx, r.head, func(h Head) (Head, bool) {
+	head, err := r.cfg.Repository.UpdateHead(ctx, r.head, func(h Head) (Head, bool) {
 		if h.Owner != r.head.Owner || !h.Open() {
 			return h, false
 		}
@@ -83,7 +83,7 @@
 		return h, true
 	})
 	if err == nil {
-		r.head = o
+		r.head = head
 	}
 	return err
 }
--- a/pkg/submission/batch.go
+++ b/pkg/submission/batch.go
@@ -20,13 +20,13 @@
 }
 
 // PrepareBatch returns a Batch of the first of results, as many as fit into one
-// transaction. Results larger than l.MaxRowBytes bytes are stored as objects first; the
+// transaction. Results larger than repo.MaxRowBytes bytes are stored as objects first; the
 // error is the store's or that of the encoding.
-func (l Repository) PrepareBatch(ctx context.Context, o HeadRow, position int, results []Result) (Batch, error) {
-	b := Batch{Position: position, ops: []platform.Op{platform.Check(headKey(o.ID), o.Fencing)}}
+func (repo Repository) PrepareBatch(ctx context.Context, head HeadRow, position int, results []Result) (Batch, error) {
+	b := Batch{Position: position, ops: []platform.Op{platform.Check(headKey(head.ID), head.Fencing)}}
 	bytes := 0
 	for _, r := range results {
-		op, err := l.resultOp(ctx, o.ID, position+len(b.Results), r)
+		op, err := repo.resultOp(ctx, head.ID, position+len(b.Results), r)
 		if err != nil {
 			return Batch{}, err
 		}
@@ -38,9 +38,9 @@
 	return b, nil
 }
 
-func (l Repository) resultOp(ctx context.Context, id string, position int, r Result) (platform.Op, error) {
+func (repo Repository) resultOp(ctx context.Context, id string, position int, r Result) (platform.Op, error) {
 	op, err := platform.Put(resultKey(id, position), 0, storedResult{Result: r})
-	if err != nil || len(op.Value) <= l.MaxRowBytes {
+	if err != nil || len(op.Value) <= repo.MaxRowBytes {
 		return op, err
 	}
 	data, err := json.Marshal(r)
@@ -48,7 +48,7 @@
 		return platform.Op{}, err
 	}
 	name := objectPrefix + id + "-result-" + r.Item
-	if err := l.Store.PutObject(ctx, name, data); err != nil {
+	if err := repo.Store.PutObject(ctx, name, data); err != nil {
 		return platform.Op{}, err
 	}
 	return platform.Put(resultKey(id, position), 0, storedResult{Result: Result{Item: r.Item, State: r.State}, Object: name})
@@ -58,15 +58,15 @@
 // another owner by now.
 var ErrNotOwner = errors.New("submission: this instance is not the owner")
 
-// Append writes b. It returns ErrNotOwner if o is no longer the submission's head, or
+// Append writes b. It returns ErrNotOwner if head is no longer the submission's head, or
 // an error of the store, after which b must be written again.
-func (l Repository) Append(ctx context.Context, o HeadRow, b Batch) error {
-	_, err := l.Store.Commit(ctx, b.ops...)
+func (repo Repository) Append(ctx context.Context, head HeadRow, b Batch) error {
+	_, err := repo.Store.Commit(ctx, b.ops...)
 	var ce *platform.ConflictError
 	if !errors.As(err, &ce) {
 		return err
 	}
-	if ce.Key == headKey(o.ID) {
+	if ce.Key == headKey(head.ID) {
 		return ErrNotOwner
 	}
 	for _, op := range b.ops {
--- a/pkg/submission/delete.go
+++ b/pkg/submission/delete.go
@@ -14,36 +14,36 @@
 // DeleteSubmission deletes a submission past its retention: its results and their
 // objects, its spec and partial texts, and last its head, so that an interrupted
 // deletion is found and completed. It returns ErrNotOwner if the head has changed.
-func (l Repository) DeleteSubmission(ctx context.Context, o HeadRow) error {
+func (repo Repository) DeleteSubmission(ctx context.Context, head HeadRow) error {
 	for {
-		page, err := l.Store.ScanFrom(ctx, resultsPrefix(o.ID), "", deleteRows)
+		page, err := repo.Store.ScanFrom(ctx, resultsPrefix(head.ID), "", deleteRows)
 		if err != nil {
 			return err
 		}
 		if len(page.Rows) == 0 {
 			break
 		}
-		ops := []platform.Op{platform.Check(headKey(o.ID), o.Fencing)}
+		ops := []platform.Op{platform.Check(headKey(head.ID), head.Fencing)}
 		for _, row := range page.Rows {
-			if err := l.deleteResultObject(ctx, row); err != nil {
+			if err := repo.deleteResultObject(ctx, row); err != nil {
 				return err
 			}
 			ops = append(ops, platform.Delete(row.Key, row.Version))
 		}
-		if err := l.commitDelete(ctx, ops); err != nil {
+		if err := repo.commitDelete(ctx, ops); err != nil {
 			return err
 		}
 	}
-	for _, name := range []string{specName(o.ID, o.Customer), progressName(o.ID, o.Head.ProgressToken)} {
-		if err := l.Store.DeleteObject(ctx, name); err != nil {
+	for _, name := range []string{specName(head.ID, head.Customer), progressName(head.ID, head.Head.ProgressToken)} {
+		if err := repo.Store.DeleteObject(ctx, name); err != nil {
 			return err
 		}
 	}
-	return l.commitDelete(ctx, []platform.Op{platform.Delete(headKey(o.ID), o.Fencing)})
+	return repo.commitDelete(ctx, []platform.Op{platform.Delete(headKey(head.ID), head.Fencing)})
 }
 
-func (l Repository) commitDelete(ctx context.Context, ops []platform.Op) error {
-	_, err := l.Store.Commit(ctx, ops...)
+func (repo Repository) commitDelete(ctx context.Context, ops []platform.Op) error {
+	_, err := repo.Store.Commit(ctx, ops...)
 	var ce *platform.ConflictError
 	if errors.As(err, &ce) {
 		return ErrNotOwner
@@ -52,16 +52,16 @@
 }
 
 // deleteResultObject deletes the object of a result that did not fit into its row.
-func (l Repository) deleteResultObject(ctx context.Context, row platform.Row) error {
+func (repo Repository) deleteResultObject(ctx context.Context, row platform.Row) error {
 	s, err := decodeStoredResult(row)
 	if err != nil || s.Object == "" {
 		return nil // a malformed row refers to no object and is deleted itself
 	}
-	return l.Store.DeleteObject(ctx, s.Object)
+	return repo.Store.DeleteObject(ctx, s.Object)
 }
 
 // DeleteProgress deletes the partial texts of a submission that are stored under a
 // fencing token.
-func (l Repository) DeleteProgress(ctx context.Context, id string, fencing uint64) error {
-	return l.Store.DeleteObject(ctx, progressName(id, fencing))
+func (repo Repository) DeleteProgress(ctx context.Context, id string, fencing uint64) error {
+	return repo.Store.DeleteObject(ctx, progressName(id, fencing))
 }
--- a/pkg/submission/generate.go
+++ b/pkg/submission/generate.go
@@ -18,15 +18,15 @@
 	it := r.spec.Items[i]
 	after, versions := r.run.LastEvent(i)
 	expect := uint64(0)
-	w := upstream.Requirements{Pool: rt.PickPool(r.cfg.Rand()), Now: now, Model: r.spec.Model, MinVersion: r.spec.MinVersion, Affinity: it.Affinity, NeedFreeSlot: true}
-	elsewhere := w // what a faster engine must offer for the text to be moved there
-	t, ok := r.cfg.Registry.Acquire(w)
+	req := upstream.Requirements{Pool: rt.PickPool(r.cfg.Rand()), Now: now, Model: r.spec.Model, MinVersion: r.spec.MinVersion, Affinity: it.Affinity, NeedFreeSlot: true}
+	elsewhere := req // what a faster engine must offer for the text to be moved there
+	rsv, ok := r.cfg.Registry.Acquire(req)
 	target := r.cfg.TargetVersion(r.spec.Model)
 	if !ok && target >= r.spec.MinVersion && target > 0 && !r.cfg.Guard.NeedsTrial(r.generation(i, after).content(r.spec.Model), now) {
 		// An engine may hold the target version before its registry entry says so. The
 		// request names the version, and the engine refuses it if it does not hold it.
-		w.Outdated, expect = true, target
-		t, ok = r.cfg.Registry.Acquire(w)
+		req.Outdated, expect = true, target
+		rsv, ok = r.cfg.Registry.Acquire(req)
 	}
 	if !ok {
 		return false
@@ -39,53 +39,53 @@
 		g.Version = expect
 	}
 	r.run.Started(i, now)
-	r.cfg.OnEvent(RunEvent{What: "generating", Submission: r.spec.ID, Item: it.ID, Upstream: t.ID, Events: after})
+	r.cfg.OnEvent(RunEvent{What: "generating", Submission: r.spec.ID, Item: it.ID, Upstream: rsv.ID, Events: after})
 	r.group.Go(func() error {
-		p, err := r.generate(ctx, t, elsewhere, g, func(p AttemptOutput) {
-			r.post(ctx, func(time.Time) { r.run.AddEvents(i, p, itemPolicy(rt)) })
+		result, err := r.generate(ctx, rsv, elsewhere, g, func(out AttemptOutput) {
+			r.post(ctx, func(time.Time) { r.run.AddEvents(i, out, itemPolicy(rt)) })
 		})
-		ended := RunEvent{What: "generated", Submission: r.spec.ID, Item: it.ID, Upstream: t.ID, Events: len(p.Events), Status: p.Status, Err: err}
+		ended := RunEvent{What: "generated", Submission: r.spec.ID, Item: it.ID, Upstream: rsv.ID, Events: len(result.Events), Status: result.Status, Err: err}
 		if err != nil && !errors.Is(err, forward.ErrNotRun) {
 			ended.Content = g.content(r.spec.Model).Fingerprint()
 		}
 		r.cfg.OnEvent(ended)
-		r.post(ctx, func(now time.Time) { r.run.AttemptEnded(i, p, itemPolicy(rt), now) })
+		r.post(ctx, func(now time.Time) { r.run.AttemptEnded(i, result, itemPolicy(rt), now) })
 		return nil
 	})
 	return true
 }
 
 // generate makes one attempt: it reads the text, or the part that the attempt produces,
-// from the engine of reservation t, and releases t. elsewhere is what another engine
+// from the engine of reservation rsv, and releases rsv. elsewhere is what another engine
 // must offer for the text to be moved there. flush is called with events as they
 // arrive; the events not flushed are returned. The attempt is cancelled with ownerCtx,
 // and when the engine sends nothing for firstEventTimeout or eventTimeout.
-func (r *Runner) generate(ownerCtx context.Context, t *upstream.Reservation, elsewhere upstream.Requirements, g GenerateRequest, flush func(AttemptOutput)) (AttemptOutput, error) {
-	attempt, err := r.cfg.Guard.Begin(ownerCtx, g.content(r.spec.Model), t.Entry)
+func (r *Runner) generate(ownerCtx context.Context, rsv *upstream.Reservation, elsewhere upstream.Requirements, g GenerateRequest, flush func(AttemptOutput)) (AttemptOutput, error) {
+	attempt, err := r.cfg.Guard.Begin(ownerCtx, g.content(r.spec.Model), rsv.Entry)
 	if err != nil {
-		t.Release()
+		rsv.Release()
 		return AttemptOutput{}, err
 	}
 	ctx, cancel := context.WithCancel(ownerCtx)
 	defer cancel()
 	idleTimer := time.AfterFunc(firstEventTimeout, cancel)
 	defer idleTimer.Stop()
-	var p AttemptOutput
-	s, load, err := r.cfg.Generator.Generate(ctx, t.Entry, g)
+	var out AttemptOutput
+	s, load, err := r.cfg.Generator.Generate(ctx, rsv.Entry, g)
 	if err == nil {
 		defer s.Close()
-		t.Observe(upstream.AttemptResult{At: time.Now(), Load: load, Versions: r.observedVersions(s.Version())})
-		p, err = r.read(t, elsewhere, s, idleTimer, flush)
+		rsv.Observe(upstream.AttemptResult{At: time.Now(), Load: load, Versions: r.observedVersions(s.Version())})
+		out, err = r.read(rsv, elsewhere, s, idleTimer, flush)
 	}
 	now := time.Now()
 	res := upstream.AttemptResult{At: now, Load: load}
 	var se *StatusError
 	switch {
 	case err == nil:
-		p.Complete = true
+		out.Complete = true
 	case errors.Is(err, errSlowEngine):
 	case errors.As(err, &se):
-		p.Status, res.Load = se.Status, se.Load
+		out.Status, res.Load = se.Status, se.Load
 		res.Failed = se.Status > http.StatusInternalServerError
 	case errors.Is(err, ErrVersionMismatch):
 		res.VersionRefused = true
@@ -99,18 +99,18 @@
 	default:
 		res.Failed = true
 	}
-	t.Done(res)
-	attempt.Done(ownerCtx, outcome(ctx, p, err))
-	return p, err
+	rsv.Done(res)
+	attempt.Done(ownerCtx, outcome(ctx, out, err))
+	return out, err
 }
 
-// outcome returns the quarantine outcome of an attempt that ended with p and err and
+// outcome returns the quarantine outcome of an attempt that ended with out and err and
 // ran under ctx.
-func outcome(ctx context.Context, p AttemptOutput, err error) quarantine.Outcome {
+func outcome(ctx context.Context, out AttemptOutput, err error) quarantine.Outcome {
 	switch {
-	case err == nil, p.Status != 0 && p.Status < http.StatusInternalServerError:
+	case err == nil, out.Status != 0 && out.Status < http.StatusInternalServerError:
 		return quarantine.Answered
-	case p.Status != 0, errors.Is(err, errVersionTooOld):
+	case out.Status != 0, errors.Is(err, errVersionTooOld):
 		return quarantine.Failed
 	case errors.Is(err, forward.ErrUnreachable):
 		return quarantine.Unreachable
@@ -135,42 +135,42 @@
 // are left. It stops with errVersionTooOld at a weight version below the submission's
 // minimum, and with errSlowEngine when the engine is slow and a faster one has a free
 // slot.
-func (r *Runner) read(t *upstream.Reservation, elsewhere upstream.Requirements, s Stream, idleTimer *time.Timer, flush func(AttemptOutput)) (AttemptOutput, error) {
-	var p AttemptOutput
+func (r *Runner) read(rsv *upstream.Reservation, elsewhere upstream.Requirements, s Stream, idleTimer *time.Timer, flush func(AttemptOutput)) (AttemptOutput, error) {
+	var out AttemptOutput
 	version := s.Version()
 	last := time.Now()
 	for {
 		e, err := s.Next()
 		if err == io.EOF {
-			return p, nil
+			return out, nil
 		}
 		if err != nil {
-			return p, err
+			return out, err
 		}
 		idleTimer.Reset(eventTimeout)
 		if e.Version != 0 {
 			version = e.Version
 		}
 		if version != 0 && version < r.spec.MinVersion {
-			return p, errVersionTooOld
+			return out, errVersionTooOld
 		}
-		if version != 0 && (len(p.Versions) == 0 || p.Versions[len(p.Versions)-1] != version) {
-			p.Versions = append(p.Versions, version)
+		if version != 0 && (len(out.Versions) == 0 || out.Versions[len(out.Versions)-1] != version) {
+			out.Versions = append(out.Versions, version)
 		}
-		p.Events = append(p.Events, e)
+		out.Events = append(out.Events, e)
 		now := time.Now()
-		if len(p.Events) < FlushEvents && now.Sub(last) < flushPeriod {
+		if len(out.Events) < FlushEvents && now.Sub(last) < flushPeriod {
 			continue
 		}
-		t.Observe(upstream.AttemptResult{At: now, TimePerUnit: now.Sub(last) / time.Duration(len(p.Events))})
+		rsv.Observe(upstream.AttemptResult{At: now, TimePerUnit: now.Sub(last) / time.Duration(len(out.Events))})
 		elsewhere.Now = now
-		if t.FasterAvailable(elsewhere, SlowEngineFactor) {
-			return p, errSlowEngine
+		if rsv.FasterAvailable(elsewhere, SlowEngineFactor) {
+			return out, errSlowEngine
 		}
-		flush(p)
-		p, last = AttemptOutput{Versions: []uint64{version}}, now
+		flush(out)
+		out, last = AttemptOutput{Versions: []uint64{version}}, now
 		if version == 0 {
-			p.Versions = nil
+			out.Versions = nil
 		}
 	}
 }
--- a/pkg/submission/item_timing.go
+++ b/pkg/submission/item_timing.go
@@ -16,51 +16,51 @@
 	hasOutput        bool // the current attempt has produced events
 }
 
-func (c *ItemTiming) attemptStarted(now time.Time) {
-	c.Attempts++
-	c.attemptStartedAt, c.hasOutput = now, false
+func (t *ItemTiming) attemptStarted(now time.Time) {
+	t.Attempts++
+	t.attemptStartedAt, t.hasOutput = now, false
 }
 
 // eventsReceived records that the current attempt produced the given number of events.
-func (c *ItemTiming) eventsReceived(events int) { c.hasOutput = c.hasOutput || events > 0 }
+func (t *ItemTiming) eventsReceived(events int) { t.hasOutput = t.hasOutput || events > 0 }
 
-func (c *ItemTiming) attemptEnded(now time.Time) {
-	c.GenerationEndedAt = now
-	if !c.hasOutput {
-		c.EmptyAttempts++
+func (t *ItemTiming) attemptEnded(now time.Time) {
+	t.GenerationEndedAt = now
+	if !t.hasOutput {
+		t.EmptyAttempts++
 		return
 	}
-	if c.GenerationStartedAt.IsZero() {
-		c.GenerationStartedAt = c.attemptStartedAt
+	if t.GenerationStartedAt.IsZero() {
+		t.GenerationStartedAt = t.attemptStartedAt
 	}
-	c.Generating += now.Sub(c.attemptStartedAt)
+	t.Generating += now.Sub(t.attemptStartedAt)
 }
 
 // Waited returns how long the item waited for an engine before its generation started,
 // in a run that started at runStartedAt; 0 if generation has not started.
-func (c ItemTiming) Waited(runStartedAt time.Time) time.Duration {
-	if c.GenerationStartedAt.IsZero() {
+func (t ItemTiming) Waited(runStartedAt time.Time) time.Duration {
+	if t.GenerationStartedAt.IsZero() {
 		return 0
 	}
-	return c.GenerationStartedAt.Sub(runStartedAt)
+	return t.GenerationStartedAt.Sub(runStartedAt)
 }
 
 // Interrupted returns how long no engine worked on the text between its first and its
 // last attempt.
-func (c ItemTiming) Interrupted() time.Duration {
-	if c.GenerationStartedAt.IsZero() {
+func (t ItemTiming) Interrupted() time.Duration {
+	if t.GenerationStartedAt.IsZero() {
 		return 0
 	}
-	return c.GenerationEndedAt.Sub(c.GenerationStartedAt) - c.Generating
+	return t.GenerationEndedAt.Sub(t.GenerationStartedAt) - t.Generating
 }
 
 // Scoring returns the time from the complete text to the result; 0 while either is
 // missing.
-func (c ItemTiming) Scoring() time.Duration {
-	if c.FinishedAt.IsZero() || c.GenerationEndedAt.IsZero() {
+func (t ItemTiming) Scoring() time.Duration {
+	if t.FinishedAt.IsZero() || t.GenerationEndedAt.IsZero() {
 		return 0
 	}
-	return c.FinishedAt.Sub(c.GenerationEndedAt)
+	return t.FinishedAt.Sub(t.GenerationEndedAt)
 }
 
 // LastFinished returns the timing of the item that got its result last, the number of
--- a/pkg/submission/prior_work.go
+++ b/pkg/submission/prior_work.go
@@ -23,7 +23,7 @@
 // PriorWork reads what previous owners have stored. prev is the head as they left it.
 // The caller must have claimed the submission since, so that none of them can write any
 // more.
-func (l Repository) PriorWork(ctx context.Context, prev HeadRow) (PriorWork, error) {
+func (repo Repository) PriorWork(ctx context.Context, prev HeadRow) (PriorWork, error) {
 	var out PriorWork
 	if !prev.Claimed && prev.Head.ProgressToken == 0 {
 		return out, nil // no instance has run it
@@ -34,11 +34,11 @@
 	}
 	var g errgroup.Group
 	g.Go(func() (err error) {
-		out.Results, err = l.AllResults(ctx, prev.ID)
+		out.Results, err = repo.AllResults(ctx, prev.ID)
 		return err
 	})
 	g.Go(func() (err error) {
-		out.Partials, err = l.progress(ctx, prev.ID, out.ProgressToken)
+		out.Partials, err = repo.progress(ctx, prev.ID, out.ProgressToken)
 		return err
 	})
 	return out, g.Wait()
@@ -56,19 +56,19 @@
 	return objectPrefix + id + "-progress-" + strconv.FormatUint(fencing, 10)
 }
 
-// PutProgress stores the partial texts of owner o for its successor.
-func (l Repository) PutProgress(ctx context.Context, o HeadRow, ps []PartialText) error {
+// PutProgress stores the partial texts of the owner in head for its successor.
+func (repo Repository) PutProgress(ctx context.Context, head HeadRow, ps []PartialText) error {
 	data, err := json.Marshal(ps)
 	if err != nil {
 		return err
 	}
-	return l.Store.PutObject(ctx, progressName(o.ID, o.Fencing), data)
+	return repo.Store.PutObject(ctx, progressName(head.ID, head.Fencing), data)
 }
 
 // progress returns the partial texts stored under a fencing token, nil if there are
 // none.
-func (l Repository) progress(ctx context.Context, id string, fencing uint64) ([]PartialText, error) {
-	data, err := l.Store.GetObject(ctx, progressName(id, fencing))
+func (repo Repository) progress(ctx context.Context, id string, fencing uint64) ([]PartialText, error) {
+	data, err := repo.Store.GetObject(ctx, progressName(id, fencing))
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil, nil
 	}
--- a/pkg/submission/repository.go
+++ b/pkg/submission/repository.go
@@ -53,13 +53,13 @@
 // owner runs it already. If s is stored already, it returns the stored head and no
 // error. An error that is platform.ErrNotApplied means that s is not and will not be
 // stored; after any other error it may have been.
-func (l Repository) Accept(ctx context.Context, s Spec, owner string, claimed bool, now time.Time) (HeadRow, error) {
+func (repo Repository) Accept(ctx context.Context, s Spec, owner string, claimed bool, now time.Time) (HeadRow, error) {
 	data, err := json.Marshal(s)
 	if err != nil {
 		return HeadRow{}, fmt.Errorf("submission %s: %w", s.ID, err)
 	}
 	for {
-		err = l.Store.PutObject(ctx, specName(s.ID, s.Customer), data)
+		err = repo.Store.PutObject(ctx, specName(s.ID, s.Customer), data)
 		if err == nil {
 			break
 		}
@@ -69,20 +69,20 @@
 	}
 	h := Head{ID: s.ID, Host: s.Host, Path: s.Path, Model: s.Model, Customer: s.Customer, MinVersion: s.MinVersion, Step: s.Step,
 		Total: len(s.Items), EstimatedLength: s.EstimatedLength(), AcceptedAt: now.UTC().Round(0), Owner: owner, Claimed: claimed} // UTC without a monotonic reading, so that it equals what is read back
-	return l.putHead(ctx, h, 0)
+	return repo.putHead(ctx, h, 0)
 }
 
 // putHead writes h if its row is at version expect, and retries until the outcome is
 // known or ctx ends. If the row has another version it returns that row instead, or
 // ErrNotFound if there is no row.
-func (l Repository) putHead(ctx context.Context, h Head, expect uint64) (HeadRow, error) {
+func (repo Repository) putHead(ctx context.Context, h Head, expect uint64) (HeadRow, error) {
 	op, err := platform.Put(headKey(h.ID), expect, h)
 	if err != nil {
 		return HeadRow{}, err
 	}
 	unknown := false // an earlier call may have been applied, or still be
 	for {
-		rows, err := l.Store.Commit(ctx, op)
+		rows, err := repo.Store.Commit(ctx, op)
 		var ce *platform.ConflictError
 		switch {
 		case err == nil:
@@ -108,8 +108,8 @@
 
 // Head reads the head of a submission. It returns ErrNotFound if there is none, and
 // ErrStoreUnavailable if the store does not answer.
-func (l Repository) Head(ctx context.Context, id string) (HeadRow, error) {
-	row, err := l.Store.Get(ctx, headKey(id))
+func (repo Repository) Head(ctx context.Context, id string) (HeadRow, error) {
+	row, err := repo.Store.Get(ctx, headKey(id))
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
 		return HeadRow{}, ErrNotFound
@@ -123,13 +123,13 @@
 // UpdateHead changes a head by compare-and-set and retries until ctx ends. change
 // returns the new head, or false if nothing is to be written. The head as it stands
 // afterwards is returned.
-func (l Repository) UpdateHead(ctx context.Context, cur HeadRow, change func(Head) (Head, bool)) (HeadRow, error) {
+func (repo Repository) UpdateHead(ctx context.Context, cur HeadRow, change func(Head) (Head, bool)) (HeadRow, error) {
 	for {
 		next, ok := change(cur.Head)
 		if !ok {
 			return cur, nil
 		}
-		got, err := l.putHead(ctx, next, cur.Fencing)
+		got, err := repo.putHead(ctx, next, cur.Fencing)
 		if err != nil {
 			return HeadRow{}, err
 		}
@@ -144,7 +144,7 @@
 // version is its fencing token. prev is the head as the previous owner left it. If the
 // head has changed since, Claim returns ErrNotOwner: another instance has claimed the
 // submission, or there is more prior work than the caller knows of.
-func (l Repository) Claim(ctx context.Context, prev HeadRow, owner string) (HeadRow, error) {
+func (repo Repository) Claim(ctx context.Context, prev HeadRow, owner string) (HeadRow, error) {
 	if !prev.Open() {
 		return HeadRow{}, ErrNotOwner
 	}
@@ -153,7 +153,7 @@
 	if claimed == prev.Head {
 		return prev, nil // already claimed by this owner
 	}
-	got, err := l.putHead(ctx, claimed, prev.Fencing)
+	got, err := repo.putHead(ctx, claimed, prev.Fencing)
 	if err == nil && got.Head != claimed {
 		return HeadRow{}, ErrNotOwner
 	}
@@ -161,33 +161,33 @@
 }
 
 // Spec reads the submission as its sender sent it.
-func (l Repository) Spec(ctx context.Context, o HeadRow) (Spec, error) {
-	data, err := l.Store.GetObject(ctx, specName(o.ID, o.Customer))
+func (repo Repository) Spec(ctx context.Context, head HeadRow) (Spec, error) {
+	data, err := repo.Store.GetObject(ctx, specName(head.ID, head.Customer))
 	if err != nil {
 		return Spec{}, fmt.Errorf("%w: %w", ErrStoreUnavailable, err)
 	}
 	var s Spec
 	if err := json.Unmarshal(data, &s); err != nil {
-		return Spec{}, fmt.Errorf("submission %s: decode spec: %w", o.ID, err)
+		return Spec{}, fmt.Errorf("submission %s: decode spec: %w", head.ID, err)
 	}
 	return s, nil
 }
 
 // DeleteSpec deletes the spec object that Accept wrote for a submission that was not
 // stored, because a submission of another customer has its ID.
-func (l Repository) DeleteSpec(ctx context.Context, s Spec) error {
-	return l.Store.DeleteObject(ctx, specName(s.ID, s.Customer))
+func (repo Repository) DeleteSpec(ctx context.Context, s Spec) error {
+	return repo.Store.DeleteObject(ctx, specName(s.ID, s.Customer))
 }
 
 // Results reads up to limit results, starting at position.
-func (l Repository) Results(ctx context.Context, id string, position, limit int) ([]Result, error) {
-	page, err := l.Store.ScanFrom(ctx, resultsPrefix(id), resultKey(id, position), limit)
+func (repo Repository) Results(ctx context.Context, id string, position, limit int) ([]Result, error) {
+	page, err := repo.Store.ScanFrom(ctx, resultsPrefix(id), resultKey(id, position), limit)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrStoreUnavailable, err)
 	}
 	out := make([]Result, 0, len(page.Rows))
 	for _, row := range page.Rows {
-		r, err := l.decodeResult(ctx, row)
+		r, err := repo.decodeResult(ctx, row)
 		if err != nil {
 			return nil, err
 		}
@@ -197,10 +197,10 @@
 }
 
 // AllResults reads every result, in order of position.
-func (l Repository) AllResults(ctx context.Context, id string) ([]Result, error) {
+func (repo Repository) AllResults(ctx context.Context, id string) ([]Result, error) {
 	var out []Result
 	for {
-		rs, err := l.Results(ctx, id, len(out), scanRows)
+		rs, err := repo.Results(ctx, id, len(out), scanRows)
 		if err != nil {
 			return nil, err
 		}
@@ -226,7 +226,7 @@
 	return s, nil
 }
 
-func (l Repository) decodeResult(ctx context.Context, row platform.Row) (Result, error) {
+func (repo Repository) decodeResult(ctx context.Context, row platform.Row) (Result, error) {
 	s, err := decodeStoredResult(row)
 	if err != nil {
 		return Result{}, err
@@ -234,7 +234,7 @@
 	if s.Object == "" {
 		return s.Result, nil
 	}
-	data, err := l.Store.GetObject(ctx, s.Object)
+	data, err := repo.Store.GetObject(ctx, s.Object)
 	if err != nil {
 		return Result{}, fmt.Errorf("%w: %v", ErrStoreUnavailable, err)
 	}
--- a/pkg/submission/run.go
+++ b/pkg/submission/run.go
@@ -147,20 +147,20 @@
 }
 
 // AddEvents adds events that a running attempt at item i has produced.
-func (r *Run) AddEvents(i int, p AttemptOutput, policy ItemPolicy) {
+func (r *Run) AddEvents(i int, out AttemptOutput, policy ItemPolicy) {
 	if it := &r.items[i]; it.phase == running {
-		it.timing.eventsReceived(len(p.Events))
-		it.extend(p, r.spec.MinVersion, policy)
+		it.timing.eventsReceived(len(out.Events))
+		it.extend(out, r.spec.MinVersion, policy)
 	}
 }
 
 // AttemptEnded applies the end of an attempt at item i at now.
-func (r *Run) AttemptEnded(i int, p AttemptOutput, policy ItemPolicy, now time.Time) {
+func (r *Run) AttemptEnded(i int, out AttemptOutput, policy ItemPolicy, now time.Time) {
 	it := &r.items[i]
 	it.phase = waiting
-	it.timing.eventsReceived(len(p.Events))
+	it.timing.eventsReceived(len(out.Events))
 	it.timing.attemptEnded(now)
-	switch p.Status {
+	switch out.Status {
 	case http.StatusUnprocessableEntity:
 		r.finish(i, Result{State: Dead}, now)
 		return
@@ -171,13 +171,13 @@
 			return
 		}
 	}
-	complete := it.extend(p, r.spec.MinVersion, policy) && p.Complete && it.lastEvent > 0
+	complete := it.extend(out, r.spec.MinVersion, policy) && out.Complete && it.lastEvent > 0
 	switch {
 	case complete && r.spec.Items[i].Scorer != nil:
 		it.phase = unscored
 	case complete:
 		r.finish(i, Result{State: Done}, now)
-	case len(p.Events) == 0:
+	case len(out.Events) == 0:
 		it.notBefore = now.Add(retryDelay)
 	}
 }
@@ -186,15 +186,15 @@
 // far. A text that must not be delivered, because one of its versions is too old or it
 // has several where the policy asks for one, is discarded and starts again; later
 // events of the same attempt do not continue it.
-func (it *item) extend(p AttemptOutput, minVersion uint64, policy ItemPolicy) bool {
-	for _, e := range p.Events {
+func (it *item) extend(out AttemptOutput, minVersion uint64, policy ItemPolicy) bool {
+	for _, e := range out.Events {
 		if e.ID != it.lastEvent+1 {
 			return false
 		}
 		it.text = append(it.text, e.Data)
 		it.lastEvent = e.ID
 	}
-	for _, v := range p.Versions {
+	for _, v := range out.Versions {
 		if !slices.Contains(it.versions, v) {
 			it.versions = append(it.versions, v)
 		}
--- a/pkg/submission/run_test.go
+++ b/pkg/submission/run_test.go
@@ -66,9 +66,9 @@
 		generationErrors, scoringErrors := map[int]int{}, map[int]int{}
 		producers := map[int][]uint64{} // version that produced each event of the text so far
 
-		endAttempt := func(t *rapid.T, a *attempt, p submission.AttemptOutput) {
+		endAttempt := func(t *rapid.T, a *attempt, out submission.AttemptOutput) {
 			inFlight = slices.DeleteFunc(inFlight, func(b *attempt) bool { return a == b })
-			run.AttemptEnded(a.item, p, policy, now)
+			run.AttemptEnded(a.item, out, policy, now)
 		}
 		startAttempts := func(t *rapid.T) {
 			if items := run.Waiting(now); len(items) > 0 {
--- a/pkg/submission/runner.go
+++ b/pkg/submission/runner.go
@@ -110,8 +110,8 @@
 	changed chan struct{} // closed when results are added
 }
 
-// NewRunner returns a Runner of submission s with head o, which continues prior.
-func NewRunner(cfg Config, o HeadRow, s Spec, prior PriorWork) *Runner {
+// NewRunner returns a Runner of submission s with the given head, which continues prior.
+func NewRunner(cfg Config, head HeadRow, s Spec, prior PriorWork) *Runner {
 	if cfg.OnEvent == nil {
 		cfg.OnEvent = func(RunEvent) {}
 	}
@@ -119,10 +119,10 @@
 		cfg.Priority = func(string) option.Of[int] { return option.Of[int]{} }
 	}
 	priorToken := prior.ProgressToken
-	if priorToken == o.Fencing {
+	if priorToken == head.Fencing {
 		priorToken = 0 // stored by this instance itself, before it took the submission over again
 	}
-	return &Runner{cfg: cfg, head: o, fencing: o.Fencing, spec: s, run: NewRun(s, prior.Results, prior.Partials), results: prior.Results,
+	return &Runner{cfg: cfg, head: head, fencing: head.Fencing, spec: s, run: NewRun(s, prior.Results, prior.Partials), results: prior.Results,
 		updates: make(chan func(time.Time), len(s.Items)), changed: make(chan struct{}), appendBackoff: minAppendBackoff,
 		priorToken: priorToken}
 }
--- a/pkg/upstream/registry.go
+++ b/pkg/upstream/registry.go
@@ -96,20 +96,20 @@
 // never modified.
 var zeroLocalState localState
 
-// localOrZero returns k's local state for reading.
-func (k *upstreamState) localOrZero() *localState {
-	if k.local == nil {
+// localOrZero returns s's local state for reading.
+func (s *upstreamState) localOrZero() *localState {
+	if s.local == nil {
 		return &zeroLocalState
 	}
-	return k.local
+	return s.local
 }
 
-// ensureLocal returns k's local state for writing, allocating it if needed.
-func (k *upstreamState) ensureLocal() *localState {
-	if k.local == nil {
-		k.local = &localState{}
+// ensureLocal returns s's local state for writing, allocating it if needed.
+func (s *upstreamState) ensureLocal() *localState {
+	if s.local == nil {
+		s.local = &localState{}
 	}
-	return k.local
+	return s.local
 }
 
 // NewRegistry returns an empty Registry for an instance in dataCentre.
@@ -159,43 +159,43 @@
 }
 
 func (r *Registry) put(e *Entry) {
-	k := r.byID[e.ID]
-	if k != nil && k.SameProcess(*e) {
-		if k.Draining != e.Draining || k.Slots != e.Slots {
+	s := r.byID[e.ID]
+	if s != nil && s.SameProcess(*e) {
+		if s.Draining != e.Draining || s.Slots != e.Slots {
 			r.pools[e.Pool].nonDraining = nil
 		}
-		k.Entry = e
+		s.Entry = e
 		return
 	}
 	r.remove(e.ID)
 	r.health.RecordSuccess(e.ID)
-	k = &upstreamState{Entry: e}
-	r.byID[e.ID] = k
+	s = &upstreamState{Entry: e}
+	r.byID[e.ID] = s
 	p := r.pools[e.Pool]
 	if p == nil {
 		p = &pool{measured: map[string]bool{}}
 		r.pools[e.Pool] = p
 	}
 	i, _ := p.find(e.ID)
-	p.members = slices.Insert(p.members, i, k)
+	p.members = slices.Insert(p.members, i, s)
 	p.nonDraining = nil
 	r.invalidateAssignments()
 }
 
 func (r *Registry) remove(id string) {
-	k := r.byID[id]
-	if k == nil {
+	s := r.byID[id]
+	if s == nil {
 		return
 	}
 	delete(r.byID, id)
-	p := r.pools[k.Pool]
+	p := r.pools[s.Pool]
 	if i, found := p.find(id); found {
 		p.members = slices.Delete(p.members, i, i+1)
 	}
 	p.nonDraining = nil
 	delete(p.measured, id)
 	if len(p.members) == 0 {
-		delete(r.pools, k.Pool)
+		delete(r.pools, s.Pool)
 	}
 	r.invalidateAssignments()
 }
@@ -203,7 +203,7 @@
 // find returns the index of the upstream with the ID in p.members, or where it would be
 // inserted, and whether it is there.
 func (p *pool) find(id string) (int, bool) {
-	return slices.BinarySearchFunc(p.members, id, func(k *upstreamState, id string) int { return strings.Compare(k.ID, id) })
+	return slices.BinarySearchFunc(p.members, id, func(s *upstreamState, id string) int { return strings.Compare(s.ID, id) })
 }
 
 // members returns the upstreams of a pool.
@@ -217,8 +217,8 @@
 // invalidateAssignments has the members of all assignments looked up again when next
 // needed.
 func (r *Registry) invalidateAssignments() {
-	for _, p := range r.assignments {
-		p.members = nil
+	for _, a := range r.assignments {
+		a.members = nil
 	}
 }
 
@@ -236,19 +236,19 @@
 
 // assigned returns the upstreams of a pool that are assigned to a model.
 func (r *Registry) assigned(model, pool string) []*upstreamState {
-	p := r.assignments[model]
-	if p == nil {
+	a := r.assignments[model]
+	if a == nil {
 		return nil
 	}
-	if p.members == nil {
-		p.members = make([]*upstreamState, 0, len(p.ids))
-		for _, id := range p.ids {
-			if k := r.byID[id]; k != nil && k.Pool == pool {
-				p.members = append(p.members, k)
+	if a.members == nil {
+		a.members = make([]*upstreamState, 0, len(a.ids))
+		for _, id := range a.ids {
+			if s := r.byID[id]; s != nil && s.Pool == pool {
+				a.members = append(a.members, s)
 			}
 		}
 	}
-	return p.members
+	return a.members
 }
 
 // Entries returns the upstreams of a pool, sorted by ID. Their weight versions include
@@ -256,10 +256,10 @@
 func (r *Registry) Entries(pool string) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ks := r.members(pool)
-	out := make([]Entry, 0, len(ks))
-	for _, k := range ks {
-		out = append(out, k.entry())
+	states := r.members(pool)
+	out := make([]Entry, 0, len(states))
+	for _, s := range states {
+		out = append(out, s.entry())
 	}
 	return out
 }
@@ -268,11 +268,11 @@
 func (r *Registry) Entry(id string) (Entry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := r.byID[id]
-	if k == nil {
+	s := r.byID[id]
+	if s == nil {
 		return Entry{}, false
 	}
-	return k.entry(), true
+	return s.entry(), true
 }
 
 // NonDraining returns the IDs, sorted, of a pool's upstreams that do not drain, and
@@ -286,46 +286,46 @@
 	}
 	if p.nonDraining == nil {
 		p.nonDraining = &nonDraining{}
-		for _, k := range p.members {
-			if !k.Draining {
-				p.nonDraining.ids = append(p.nonDraining.ids, k.ID)
-				p.nonDraining.slots += k.Slots
+		for _, s := range p.members {
+			if !s.Draining {
+				p.nonDraining.ids = append(p.nonDraining.ids, s.ID)
+				p.nonDraining.slots += s.Slots
 			}
 		}
 	}
 	return p.nonDraining.ids, p.nonDraining.slots
 }
 
-// entry returns k's entry with the weight versions that responses have shown since.
-func (k *upstreamState) entry() Entry {
-	e := *k.Entry
-	e.Versions = k.versions()
+// entry returns s's entry with the weight versions that responses have shown since.
+func (s *upstreamState) entry() Entry {
+	e := *s.Entry
+	e.Versions = s.versions()
 	return e
 }
 
-// version returns the newest version of a model that k is known to hold.
-func (k *upstreamState) version(model string) uint64 {
-	return max(k.Versions[model], k.localOrZero().observedVersions[model])
+// version returns the newest version of a model that s is known to hold.
+func (s *upstreamState) version(model string) uint64 {
+	return max(s.Versions[model], s.localOrZero().observedVersions[model])
 }
 
-// versions returns the newest weight versions that k is known to hold. The map may be
+// versions returns the newest weight versions that s is known to hold. The map may be
 // the entry's own, which is never modified.
-func (k *upstreamState) versions() map[string]uint64 {
+func (s *upstreamState) versions() map[string]uint64 {
 	var newer map[string]uint64
-	for m, n := range k.localOrZero().observedVersions {
-		if n <= k.Versions[m] {
+	for m, n := range s.localOrZero().observedVersions {
+		if n <= s.Versions[m] {
 			continue
 		}
 		if newer == nil {
-			newer = make(map[string]uint64, len(k.Versions)+1)
-			maps.Copy(newer, k.Versions)
+			newer = make(map[string]uint64, len(s.Versions)+1)
+			maps.Copy(newer, s.Versions)
 		}
 		newer[m] = n
 	}
 	if newer != nil {
 		return newer
 	}
-	return k.Versions
+	return s.Versions
 }
 
 // Reservation is one request's place at an upstream. Its holder calls Done or Release,
@@ -341,20 +341,20 @@
 func (r *Registry) Acquire(req Requirements) (*Reservation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ks := r.usableFor(req)
-	i := Choose(r.candidates(ks, req), req)
+	states := r.usableFor(req)
+	i := Choose(r.candidates(states, req), req)
 	if i < 0 {
 		return nil, false
 	}
-	k := ks[i]
-	u := k.ensureLocal()
-	u.inFlight++
-	u.singleInFlight = u.singleRequest
+	s := states[i]
+	local := s.ensureLocal()
+	local.inFlight++
+	local.singleInFlight = local.singleRequest
 	if req.Outdated {
-		u.versionCheckedAt = req.Now
+		local.versionCheckedAt = req.Now
 	}
-	r.health.RecordAttempt(k.ID, req.Now)
-	return &Reservation{Entry: k.entry(), registry: r, state: k}, true
+	r.health.RecordAttempt(s.ID, req.Now)
+	return &Reservation{Entry: s.entry(), registry: r, state: s}, true
 }
 
 // usableFor returns the upstreams that may take a request: those assigned to its model
@@ -371,24 +371,24 @@
 	return r.filterUsable(req, r.members(req.Pool))
 }
 
-// filterUsable returns the upstreams among ks that may take a request.
-func (r *Registry) filterUsable(req Requirements, ks []*upstreamState) []*upstreamState {
-	out := make([]*upstreamState, 0, len(ks))
-	for _, k := range ks {
-		if r.usable(k, req) {
-			out = append(out, k)
+// filterUsable returns the upstreams among states that may take a request.
+func (r *Registry) filterUsable(req Requirements, states []*upstreamState) []*upstreamState {
+	out := make([]*upstreamState, 0, len(states))
+	for _, s := range states {
+		if r.usable(s, req) {
+			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// candidates converts ks, which are in req's pool, to the input of Choose.
-func (r *Registry) candidates(ks []*upstreamState, req Requirements) []Candidate {
+// candidates converts states, which are in req's pool, to the input of Choose.
+func (r *Registry) candidates(states []*upstreamState, req Requirements) []Candidate {
 	slowness := r.slowness(req.Pool, req.Now)
-	out := make([]Candidate, 0, len(ks))
-	for _, k := range ks {
-		out = append(out, Candidate{ID: k.ID, Load: k.load(req.Now), InFlight: k.localOrZero().inFlight, Slots: max(k.Slots, 1),
-			Slowness: max(slowness[k.ID], 1), Local: k.DataCentre == r.dataCentre})
+	out := make([]Candidate, 0, len(states))
+	for _, s := range states {
+		out = append(out, Candidate{ID: s.ID, Load: s.load(req.Now), InFlight: s.localOrZero().inFlight, Slots: max(s.Slots, 1),
+			Slowness: max(slowness[s.ID], 1), Local: s.DataCentre == r.dataCentre})
 	}
 	return out
 }
@@ -415,98 +415,98 @@
 	return out
 }
 
-func (r *Registry) usable(k *upstreamState, req Requirements) bool {
-	u := k.localOrZero()
+func (r *Registry) usable(s *upstreamState, req Requirements) bool {
+	local := s.localOrZero()
 	switch {
-	case k.Draining, u.addressReused, u.singleInFlight, req.Now.Before(u.busyUntil), slices.Contains(req.Exclude, k.ID), !r.health.Usable(k.ID, req.Now):
+	case s.Draining, local.addressReused, local.singleInFlight, req.Now.Before(local.busyUntil), slices.Contains(req.Exclude, s.ID), !r.health.Usable(s.ID, req.Now):
 		return false
 	case req.Model == "":
 		return true
 	case req.Outdated:
-		v := k.version(req.Model)
-		return v < req.MinVersion && v+maxRecheckLag >= req.MinVersion && req.Now.Sub(u.versionCheckedAt) >= recheckInterval
+		v := s.version(req.Model)
+		return v < req.MinVersion && v+maxRecheckLag >= req.MinVersion && req.Now.Sub(local.versionCheckedAt) >= recheckInterval
 	}
-	return k.version(req.Model) >= req.MinVersion
+	return s.version(req.Model) >= req.MinVersion
 }
 
-// load returns the estimated number of requests at k.
-func (k *upstreamState) load(now time.Time) int {
-	u := k.localOrZero()
-	if now.Sub(u.otherLoadAt) > loadMaxAge {
-		return u.inFlight
+// load returns the estimated number of requests at s.
+func (s *upstreamState) load(now time.Time) int {
+	local := s.localOrZero()
+	if now.Sub(local.otherLoadAt) > loadMaxAge {
+		return local.inFlight
 	}
-	return u.inFlight + u.otherLoad
+	return local.inFlight + local.otherLoad
 }
 
 // Done ends the reservation and records how the request went.
-func (res *Reservation) Done(result AttemptResult) {
-	r := res.registry
+func (rsv *Reservation) Done(result AttemptResult) {
+	r := rsv.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	res.state.ensureLocal().inFlight--
-	r.record(res.state, result)
+	rsv.state.ensureLocal().inFlight--
+	r.record(rsv.state, result)
 }
 
 // Release ends a reservation whose request was not sent.
-func (res *Reservation) Release() {
-	r := res.registry
+func (rsv *Reservation) Release() {
+	r := rsv.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := res.state.ensureLocal()
-	u.inFlight--
-	u.singleInFlight = false
+	local := rsv.state.ensureLocal()
+	local.inFlight--
+	local.singleInFlight = false
 }
 
 // FasterAvailable reports whether the reserved upstream is at least factor times
 // slower than usual, while another that may take its request, req, is not and has a free slot.
-func (res *Reservation) FasterAvailable(req Requirements, factor float64) bool {
-	r := res.registry
+func (rsv *Reservation) FasterAvailable(req Requirements, factor float64) bool {
+	r := rsv.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.slowness(res.Pool, req.Now)[res.ID] < factor {
+	if r.slowness(rsv.Pool, req.Now)[rsv.ID] < factor {
 		return false
 	}
 	return slices.ContainsFunc(r.candidates(r.usableFor(req), req), func(c Candidate) bool {
-		return c.ID != res.ID && c.Slowness < factor && c.Load < c.Slots
+		return c.ID != rsv.ID && c.Slowness < factor && c.Load < c.Slots
 	})
 }
 
 // Observe records an observation while the request is in flight.
-func (res *Reservation) Observe(result AttemptResult) {
-	res.registry.mu.Lock()
-	defer res.registry.mu.Unlock()
-	res.registry.record(res.state, result)
+func (rsv *Reservation) Observe(result AttemptResult) {
+	rsv.registry.mu.Lock()
+	defer rsv.registry.mu.Unlock()
+	rsv.registry.record(rsv.state, result)
 }
 
-func (r *Registry) record(k *upstreamState, result AttemptResult) {
-	u := k.ensureLocal()
+func (r *Registry) record(s *upstreamState, result AttemptResult) {
+	local := s.ensureLocal()
 	if result.Load != nil {
-		u.otherLoad = max(0, result.Load.Running+result.Load.Queued-u.inFlight)
-		u.otherLoadAt = result.At
+		local.otherLoad = max(0, result.Load.Running+result.Load.Queued-local.inFlight)
+		local.otherLoadAt = result.At
 	}
-	u.singleInFlight = false
+	local.singleInFlight = false
 	if result.Busy {
-		u.busyUntil, u.singleRequest = result.BusyUntil, true
+		local.busyUntil, local.singleRequest = result.BusyUntil, true
 	} else if !result.VersionRefused {
-		u.singleRequest = false
+		local.singleRequest = false
 	}
-	u.addressReused = u.addressReused || result.AddressReused
+	local.addressReused = local.addressReused || result.AddressReused
 	for m, v := range result.Versions {
-		if u.observedVersions == nil {
-			u.observedVersions = map[string]uint64{}
+		if local.observedVersions == nil {
+			local.observedVersions = map[string]uint64{}
 		}
-		u.observedVersions[m] = max(u.observedVersions[m], v)
+		local.observedVersions[m] = max(local.observedVersions[m], v)
 	}
 	if result.TimePerUnit > 0 {
-		r.tokenTimes.Observe(k.ID, result.TimePerUnit, result.At)
-		if p := r.pools[k.Pool]; p != nil && r.byID[k.ID] == k {
-			p.measured[k.ID] = true
+		r.tokenTimes.Observe(s.ID, result.TimePerUnit, result.At)
+		if p := r.pools[s.Pool]; p != nil && r.byID[s.ID] == s {
+			p.measured[s.ID] = true
 		}
 	}
 	switch {
 	case result.Failed || result.Unreachable:
-		r.health.RecordFailure(k.ID, result.At, result.Unreachable)
+		r.health.RecordFailure(s.ID, result.At, result.Unreachable)
 	case !result.Busy && !result.AddressReused && !result.VersionRefused:
-		r.health.RecordSuccess(k.ID)
+		r.health.RecordSuccess(s.ID)
 	}
 }
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -32,13 +32,13 @@
 }
 
 // WindowAt returns the window that contains t.
-func (c Schedule) WindowAt(t time.Time) Window { return Window(t.UnixNano() / int64(c.Length)) }
+func (s Schedule) WindowAt(t time.Time) Window { return Window(t.UnixNano() / int64(s.Length)) }
 
 // End returns when w ends.
-func (c Schedule) End(w Window) time.Time { return time.Unix(0, (int64(w)+1)*int64(c.Length)) }
+func (s Schedule) End(w Window) time.Time { return time.Unix(0, (int64(w)+1)*int64(s.Length)) }
 
 // Due returns the time at which the report of w is due.
-func (c Schedule) Due(w Window) time.Time { return c.End(w).Add(c.ReportDelay) }
+func (s Schedule) Due(w Window) time.Time { return s.End(w).Add(s.ReportDelay) }
 
 const (
 	// settleDelay is how long after a window's end instances still write counts of it:
@@ -64,10 +64,10 @@
 // them when it is available again, and CloseAt waits for this as long as the report is
 // still in time. If instances were killed, the counts that they had not written are
 // lost, and waiting does not help.
-func (c Schedule) CloseAt(w Window, reachableSince time.Time) time.Time {
-	end := c.End(w)
+func (s Schedule) CloseAt(w Window, reachableSince time.Time) time.Time {
+	end := s.End(w)
 	settled := end.Add(settleDelay)
-	last := c.Due(w).Add(-sendMargin)
+	last := s.Due(w).Add(-sendMargin)
 	at := settled
 	if recovered := reachableSince.Add(recoveryDelay); recovered.After(at) && reachableSince.After(end) {
 		at = recovered
--- a/pkg/verdict/verdict.go
+++ b/pkg/verdict/verdict.go
@@ -53,11 +53,11 @@
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (v *Verdict) UnmarshalText(b []byte) error {
-	p, err := Parse(string(b))
+	parsed, err := Parse(string(b))
 	if err != nil {
 		return err
 	}
-	*v = p
+	*v = parsed
 	return nil
 }
 
--- a/pkg/watch/connect.go
+++ b/pkg/watch/connect.go
@@ -20,11 +20,11 @@
 // startConnect starts opening a link to a relay and a watch of Table there.
 func (f *Follower) startConnect(ctx context.Context, r Relay) {
 	tctx, cancel := context.WithTimeout(ctx, searchTimeout)
-	t := &attempt{cancel: cancel}
-	f.attempts[r.Address] = t
+	a := &attempt{cancel: cancel}
+	f.attempts[r.Address] = a
 	f.cfg.Go(func() error {
 		c, err := f.connect(tctx, r)
-		f.post(ctx, connectResult{t, c, err})
+		f.post(ctx, connectResult{a, c, err})
 		return nil
 	})
 }
@@ -57,26 +57,26 @@
 
 // onConnectResult keeps the connection that an attempt has opened and returns the event
 // for the Machine. It reports false for an attempt that was cancelled.
-func (f *Follower) onConnectResult(a connectResult) (ConnectDone, bool) {
-	if f.attempts[a.conn.Address] != a.attempt {
-		a.conn.close()
+func (f *Follower) onConnectResult(r connectResult) (ConnectDone, bool) {
+	if f.attempts[r.conn.Address] != r.attempt {
+		r.conn.close()
 		return ConnectDone{}, false
 	}
-	e := ConnectDone{At: time.Now(), Address: a.conn.Address, Outcome: outcome(a)}
-	a.attempt.conn = a.conn
-	if a.err != nil {
-		delete(f.attempts, a.conn.Address)
+	e := ConnectDone{At: time.Now(), Address: r.conn.Address, Outcome: outcome(r)}
+	r.attempt.conn = r.conn
+	if r.err != nil {
+		delete(f.attempts, r.conn.Address)
 	}
 	return e, true
 }
 
-func outcome(a connectResult) ConnectOutcome {
+func outcome(r connectResult) ConnectOutcome {
 	switch {
-	case errors.Is(a.err, errFull):
+	case errors.Is(r.err, errFull):
 		return RelayFull
-	case a.err != nil:
+	case r.err != nil:
 		return RelayGone
-	case a.conn.first.AnyUnavailable():
+	case r.conn.first.AnyUnavailable():
 		return RelayWithoutStore
 	}
 	return RelayReady
@@ -85,12 +85,12 @@
 // closeConnections cancels and closes all attempts but that for the relay at the address
 // keep.
 func (f *Follower) closeConnections(keep string) {
-	for address, t := range f.attempts {
+	for address, a := range f.attempts {
 		if address == keep {
 			continue
 		}
-		t.cancel()
-		t.conn.close()
+		a.cancel()
+		a.conn.close()
 		delete(f.attempts, address)
 	}
 }
@@ -103,19 +103,19 @@
 	}
 	var first peer.WatchUpdate
 	for len(first.Tables) < len(tables) {
-		n, err := s.Next(searchTimeout)
+		u, err := s.Next(searchTimeout)
 		switch {
 		case err != nil:
-		case n.Full:
+		case u.Full:
 			err = errFull
-		case n.Leaving:
+		case u.Leaving:
 			err = errLeaving
 		}
 		if err != nil {
 			s.Close()
 			return nil, peer.WatchUpdate{}, err
 		}
-		first.Tables = append(first.Tables, n.Tables...)
+		first.Tables = append(first.Tables, u.Tables...)
 	}
 	return s, first, nil
 }
@@ -123,20 +123,20 @@
 // openWatch ends the current source and opens a watch of all tables at a relay that
 // startConnect has connected to.
 func (f *Follower) openWatch(ctx context.Context, r Relay) {
-	t := f.attempts[r.Address]
+	a := f.attempts[r.Address]
 	delete(f.attempts, r.Address)
 	f.stop()
 	f.stop = func() {}
-	if t == nil {
+	if a == nil {
 		f.reduce(ctx, WatchOpened{time.Now(), errLeaving})
 		return
 	}
-	t.cancel()
+	a.cancel()
 	f.forgetDerived()
 	watchCtx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	running.Add(1)
-	c := t.conn
+	c := a.conn
 	stopped := context.AfterFunc(watchCtx, c.close)
 	f.stop = func() {
 		cancel()
@@ -162,20 +162,20 @@
 
 // readUpdates handles the updates of a watch until the watch ends or watchCtx does.
 // Updates already received are delivered even then, with ctx.
-func (f *Follower) readUpdates(ctx, watchCtx context.Context, s Stream, n peer.WatchUpdate) {
+func (f *Follower) readUpdates(ctx, watchCtx context.Context, s Stream, u peer.WatchUpdate) {
 	unavailable := map[string]bool{} // tables that the relay cannot read from the store
 	reported := false                // whether the Machine was told that there are such tables
 	for {
-		f.handleUpdate(ctx, watchCtx, n, unavailable)
-		if anyUnavailable := len(unavailable) > 0; n.Leaving || anyUnavailable != reported {
+		f.handleUpdate(ctx, watchCtx, u, unavailable)
+		if anyUnavailable := len(unavailable) > 0; u.Leaving || anyUnavailable != reported {
 			reported = anyUnavailable
-			f.post(watchCtx, RelayStatus{time.Now(), anyUnavailable, n.Leaving})
+			f.post(watchCtx, RelayStatus{time.Now(), anyUnavailable, u.Leaving})
 		}
-		if n.Leaving {
+		if u.Leaving {
 			return
 		}
 		var err error
-		if n, err = s.Next(silenceTimeout); err != nil {
+		if u, err = s.Next(silenceTimeout); err != nil {
 			f.post(watchCtx, WatchEnded{time.Now(), err.Error()})
 			return
 		}
@@ -184,9 +184,9 @@
 
 // handleUpdate applies one update from a relay. It records in unavailable the tables that
 // the relay cannot read.
-func (f *Follower) handleUpdate(ctx, watchCtx context.Context, n peer.WatchUpdate, unavailable map[string]bool) {
+func (f *Follower) handleUpdate(ctx, watchCtx context.Context, u peer.WatchUpdate, unavailable map[string]bool) {
 	now := time.Now()
-	for _, t := range n.Tables {
+	for _, t := range u.Tables {
 		if t.Table == Table {
 			if t.Reset || len(t.Changes) > 0 {
 				f.post(watchCtx, DirectoryChanged{now, f.applyRelays(t.Changes, t.Reset)})
@@ -229,8 +229,8 @@
 
 // isBehind reports whether a relay's first update is older than what this instance knows,
 // as after the relay was suspended without noticing.
-func isBehind(n peer.WatchUpdate, watched []peer.WatchedTable) bool {
-	for _, t := range n.Tables {
+func isBehind(u peer.WatchUpdate, watched []peer.WatchedTable) bool {
+	for _, t := range u.Tables {
 		for _, a := range watched {
 			if a.Table == t.Table && t.Version < a.After {
 				return true
--- a/pkg/watch/directory.go
+++ b/pkg/watch/directory.go
@@ -115,11 +115,11 @@
 		if r.StartID == start {
 			continue
 		}
-		p := ranked{r, random()}
+		rr := ranked{r, random()}
 		if r.DataCentre != dataCentre {
-			p.rank++
+			rr.rank++
 		}
-		all = append(all, p)
+		all = append(all, rr)
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
 		if a.rank < b.rank {
@@ -128,8 +128,8 @@
 		return 1
 	})
 	out := make([]Relay, len(all))
-	for i, p := range all {
-		out[i] = p.Relay
+	for i, rr := range all {
+		out[i] = rr.Relay
 	}
 	return out
 }
--- a/pkg/watch/follower.go
+++ b/pkg/watch/follower.go
@@ -176,18 +176,18 @@
 }
 
 // setSource records the source in use and reports a change of it to OnEvent.
-func (f *Follower) setSource(t SetSource) {
+func (f *Follower) setSource(s SetSource) {
 	now := time.Now()
 	f.mu.Lock()
-	e := Event{Source: t.Source, Reason: t.Reason}
-	if f.source.Kind == None && t.Source.Kind != None {
+	e := Event{Source: s.Source, Reason: s.Reason}
+	if f.source.Kind == None && s.Source.Kind != None {
 		e.Downtime = now.Sub(f.sourceLostAt)
 	}
-	if f.source.Kind != None && t.Source.Kind == None {
+	if f.source.Kind != None && s.Source.Kind == None {
 		f.sourceLostAt = now
 	}
-	changed := f.source != t.Source
-	f.source = t.Source
+	changed := f.source != s.Source
+	f.source = s.Source
 	f.mu.Unlock()
 	if changed {
 		f.cfg.OnEvent(e)
--- a/pkg/watch/machine.go
+++ b/pkg/watch/machine.go
@@ -330,7 +330,7 @@
 	if !m.cfg.CanRelay || m.relayingDisabled || m.claiming != (ClaimSlot{}) {
 		return nil
 	}
-	v, ok := m.dir.findFreeSlot(m.cfg.DataCentre, func(r Relay) relayState { return m.stateOf(r, now) })
+	slot, ok := m.dir.findFreeSlot(m.cfg.DataCentre, func(r Relay) relayState { return m.stateOf(r, now) })
 	if !ok {
 		m.claimAt = time.Time{}
 		return nil
@@ -341,7 +341,7 @@
 	if now.Before(m.claimAt) {
 		return nil
 	}
-	m.claiming = ClaimSlot{Key: v.key, Version: v.version}
+	m.claiming = ClaimSlot{Key: slot.key, Version: slot.version}
 	return []Effect{m.claiming}
 }
 
--- a/pkg/watch/search.go
+++ b/pkg/watch/search.go
@@ -75,16 +75,16 @@
 	if s == nil {
 		return nil
 	}
-	t, ok := s.inFlight[e.Address]
+	pc, ok := s.inFlight[e.Address]
 	if !ok {
 		return nil
 	}
 	delete(s.inFlight, e.Address)
 	switch e.Outcome {
 	case RelayReady:
-		return m.useRelay(t.Relay, e.At)
+		return m.useRelay(pc.Relay, e.At)
 	case RelayWithoutStore:
-		s.withoutStore = append(s.withoutStore, t.Relay)
+		s.withoutStore = append(s.withoutStore, pc.Relay)
 	}
 	if len(s.withoutStore) >= maxWithoutStore || len(s.pending) == 0 && len(s.inFlight) == 0 {
 		return m.endSearch(e.At)
@@ -124,9 +124,9 @@
 func (m *Machine) endSearch(now time.Time) []Effect {
 	s := m.search
 	m.search = nil
-	for _, t := range s.inFlight {
-		if now.Sub(t.startedAt) >= silenceTimeout {
-			m.avoid(t.Address, gone, now)
+	for _, pc := range s.inFlight {
+		if now.Sub(pc.startedAt) >= silenceTimeout {
+			m.avoid(pc.Address, gone, now)
 		}
 	}
 	if s.purpose == forAny && len(s.withoutStore) > 0 {
--- a/pkg/watch/serve.go
+++ b/pkg/watch/serve.go
@@ -40,8 +40,8 @@
 	for messages := 0; ctx.Err() == nil; messages++ {
 		updates, urgent := r.updates.wait(), r.urgent.wait()
 		leaving := r.leaving.Load()
-		n := peer.WatchUpdate{Leaving: leaving, Tables: s.since(time.Now(), messages%versionInterval == 0)}
-		if err := send(n); err != nil {
+		u := peer.WatchUpdate{Leaving: leaving, Tables: s.since(time.Now(), messages%versionInterval == 0)}
+		if err := send(u); err != nil {
 			return err
 		}
 		if leaving {
--- a/pkg/watch/watch_test.go
+++ b/pkg/watch/watch_test.go
@@ -243,12 +243,12 @@
 	w := &stream{link: l, cancel: cancel, updates: make(chan peer.WatchUpdate, 100)}
 	go func() { // ends when the watch or the link is closed
 		defer close(w.updates)
-		_ = l.to.Watch(ctx, tables, func(n peer.WatchUpdate) error {
+		_ = l.to.Watch(ctx, tables, func(u peer.WatchUpdate) error {
 			if !l.site.isRunning(l.to.name) {
 				return errRefused
 			}
 			if !l.site.isSilent(l.to.name) {
-				w.updates <- n
+				w.updates <- u
 			}
 			return ctx.Err()
 		})
--- a/pkg/watchcache/watchcache.go
+++ b/pkg/watchcache/watchcache.go
@@ -330,8 +330,8 @@
 		return d
 	}
 	if !c.isKnown(version) {
-		w := c.fullTable(version, time.Now())
-		d.Reset, d.Changes, d.Version, d.More = true, w.changes, w.version, w.version < c.version
+		s := c.fullTable(version, time.Now())
+		d.Reset, d.Changes, d.Version, d.More = true, s.changes, s.version, s.version < c.version
 		return d
 	}
 	for n := c.latest; n != nil && n.Version > version; n = n.older {
@@ -344,17 +344,17 @@
 // fullTable returns a snapshot of the table at the given version or a later one. It makes
 // a new one if the last is outdated.
 func (c *Cache) fullTable(version uint64, now time.Time) snapshot {
-	w := &c.snapshot
-	if w.version == c.version && !w.createdAt.IsZero() || w.version >= version && now.Sub(w.createdAt) < snapshotPeriod {
-		return *w
+	s := &c.snapshot
+	if s.version == c.version && !s.createdAt.IsZero() || s.version >= version && now.Sub(s.createdAt) < snapshotPeriod {
+		return *s
 	}
-	*w = snapshot{version: c.version, createdAt: now, changes: make([]platform.Change, 0, len(c.rows)-c.deleted)}
+	*s = snapshot{version: c.version, createdAt: now, changes: make([]platform.Change, 0, len(c.rows)-c.deleted)}
 	for n := c.oldest; n != nil; n = n.newer {
 		if !n.Deleted {
-			w.changes = append(w.changes, n.Change)
+			s.changes = append(s.changes, n.Change)
 		}
 	}
-	return *w
+	return *s
 }
 
 func (c *Cache) state() Delta {
